--- a/features/platform_standins/builds.py
+++ b/features/platform_standins/builds.py
@@ -10,7 +10,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 # The build that landed before the one that is worked on.
-LAST_LANDED = "b95c5d9"
+LAST_LANDED = "f615bed"
 
 
 @cache
--- a/features/upgrades.feature
+++ b/features/upgrades.feature
@@ -13,6 +13,7 @@
       | 49152d8 |
       | 64f8938 |
       | b95c5d9 |
+      | f615bed |
 
   Scenario: What is written today is read by the build that landed last
     Given the build that landed last, from the history
@@ -38,6 +39,8 @@
       | today   | 64f8938 |
       | b95c5d9 | today   |
       | today   | b95c5d9 |
+      | f615bed | today   |
+      | today   | f615bed |
 
   # Routers of 2cd8a79 do not know of evacuations. One of today that learnt the configuration from
   # them alone would send to failure domains that the operator has emptied, so it waits for the store.
@@ -66,6 +69,8 @@
       | today   | b95c5d9 |
       | 64f8938 | today   |
       | b95c5d9 | today   |
+      | today   | f615bed |
+      | f615bed | today   |
 
   Scenario Outline: An older build that newer leaders told of changes goes on by itself
     Given two gateways of today that lead, and replicas
@@ -76,6 +81,7 @@
       | build   |
       | 64f8938 |
       | b95c5d9 |
+      | f615bed |
 
   Scenario Outline: A raised limit is in force at an older build that goes on with the account
     Given a gateway of today that has spent an account
@@ -86,6 +92,7 @@
       | build   |
       | 64f8938 |
       | b95c5d9 |
+      | f615bed |
 
   Scenario: The build of each router is told
     Given a gateway of 49152d8 that serves, and replicas
