--- a/features/steps/allowance_steps.py
+++ b/features/steps/allowance_steps.py
@@ -323,12 +323,12 @@
         return type(self)._step(self, account)
 
     def grant_before_answer(self, account, plan):
-        account.purse.granted = max(account.purse.granted, plan.allowance(self.session))
+        account.balance.granted = max(account.balance.granted, plan.allowance(self.session))
         return type(self)._write(self, account, plan)
 
     def grant_beyond_ceiling(self, account, document):
         type(self)._grant(self, account, document)
-        account.purse.ceiling = None
+        account.balance.ceiling = None
 
     def accept_closed(self, session, ceilings, now_ms):
         entry = self._entries.get(session)
@@ -338,7 +338,7 @@
 
     def count_each_repayment(self, account, payment):
         self._repaid.clear()
-        return type(self).take_repayment(self, account, payment)
+        return type(self).handle_repayment(self, account, payment)
 
     late_lowering = [
         ("reserve", 0, LIMIT),
@@ -376,7 +376,7 @@
         ("reserve", 0, 1_500),
     ]
     cases = {
-        "a repayment counts once": (paid_back, "take_repayment", count_each_repayment),
+        "a repayment counts once": (paid_back, "handle_repayment", count_each_repayment),
         "no use beyond the ceiling": (beyond_ceiling, "_grant", grant_beyond_ceiling),
         "a closed session's ceilings are final": (closed_goes_on, "accept", accept_closed),
         "another write before a document is believed": (
@@ -490,9 +490,9 @@
     world.store.on_written = lambda: context.router.close(timeout_ms=1)
     loan = LoanRequest(1, "router-1.2", "board", 3_000, 0)
     context.replies = []
-    context.router.take_loan_request(loan, context.replies.append)
+    context.router.handle_loan_request(loan, context.replies.append)
     later = LoanRequest(2, "router-1.2", "board", 500, 0)
-    context.router.take_loan_request(later, context.replies.append)
+    context.router.handle_loan_request(later, context.replies.append)
 
 
 @then("it gives none, and takes none back")
@@ -503,7 +503,7 @@
     assert document.committed >= 1_000 + given, (document, context.replies)
     assert context.replies[-1].given == 0, context.replies
     payment = Repayment(3, "router-1.2", context.router.session, "board", 100)
-    assert not context.router.take_repayment(payment)
+    assert not context.router.handle_repayment(payment)
 
 
 @given("two routers that draw for themselves, and a limit that one of them heard was cut")
--- a/features/steps/allowance_world.py
+++ b/features/steps/allowance_world.py
@@ -140,7 +140,7 @@
         self.known = {}
         self.next = "told"
 
-    def want(self, account, ceiling):
+    def request_ceiling(self, account, ceiling):
         """Tell a ceiling at once; the session hears whether it was accepted, or does not."""
         if self.bond is None:
             self.bond = self.world.session_of(self.number + 1)
@@ -149,24 +149,24 @@
         lives = self.world.session_of(self.number + 1) == self.bond
         if how == "lost":
             return
-        book = self.world.accounts[(self.number + 1) % len(self.world.accounts)].book
-        accepted = lives and book.accept(self.session, {account: ceiling}, self._now())
+        registry = self.world.accounts[(self.number + 1) % len(self.world.accounts)].ceilings
+        accepted = lives and registry.accept(self.session, {account: ceiling}, self._now())
         if how == "answer lost":
             return
         if not accepted:
             self.bond = None
             return
         self.known[account] = max(ceiling, self.known.get(account, ceiling))
-        self.world.accounts[self.number].take_accepted(self.bond, {account: ceiling})
+        self.world.accounts[self.number].handle_accepted_ceilings(self.bond, {account: ceiling})
 
-    def ensure(self, account, ceiling):
+    def ensure_ceiling(self, account, ceiling):
         if self.bond is None or self.known.get(account, -1) < ceiling:
-            self.want(account, ceiling)
+            self.request_ceiling(account, ceiling)
         if self.bond is None or self.known.get(account, -1) < ceiling:
             return "", 0
         return self.bond, self.known[account]
 
-    def accepted(self, account, witness):
+    def accepted_ceiling(self, account, witness):
         return self.known.get(account, 0) if witness == self.bond else 0
 
     def close_session(self, session, witness):
@@ -192,22 +192,22 @@
     def is_primary(self, account):
         return self.number == self.world.primary
 
-    def ask(self, account, needed, extra):
+    def borrow_from_primary(self, account, needed, extra):
         if self.is_primary(account):
             return False
         self._ask(self.world.primary, account, needed, extra)
         return True
 
-    def ask_next(self, account, needed):
+    def borrow_from_successor(self, account, needed):
         return False
 
-    def ask_others(self, account, needed):
+    def borrow_from_others(self, account, needed):
         for number in range(len(self.world.accounts)):
             if number != self.number:
                 self._ask(number, account, needed, 0)
         return True
 
-    def ask_holders(self, account, needed, sessions):
+    def borrow_from_holders(self, account, needed, sessions):
         listed = set(sessions) - {self.session}
         found = [
             number
@@ -217,7 +217,7 @@
         for number in found:
             self._ask(number, account, needed, 0, held_only=True)
         if found:
-            self.world.accounts[self.number].take_others_done(account)
+            self.world.accounts[self.number].handle_lenders_done(account)
         return bool(found)
 
     def repay(self, account, amount):
@@ -244,10 +244,10 @@
         def answer(reply):
             mine = self.world.accounts[self.number]
             if how != "answer lost" and mine.session == self.session:
-                mine.take_loan(reply)
+                mine.handle_loan_reply(reply)
 
         self.world.requests.append((lender, request))
-        self.world.accounts[lender].take_loan_request(request, answer)
+        self.world.accounts[lender].handle_loan_request(request, answer)
         self.world.sweep(lender)
 
 
@@ -301,7 +301,7 @@
         )
         self.accounts[number].routers = len(self.accounts)
         accounts = self.accounts[number]
-        parts = (accounts.lender, accounts.writer, accounts.book, accounts)
+        parts = (accounts.lender, accounts.writer, accounts.ceilings, accounts)
         for rule, broken in self.rules.items():
             part = next(each for each in parts if hasattr(each, rule))
             setattr(part, rule, broken.__get__(part))
@@ -359,12 +359,12 @@
     def pay(self, lender, payment):
         """A repayment arrives, at the life of a router that it is meant for."""
         if self.session_of(lender) == payment.lender:
-            self.accounts[lender].take_repayment(payment)
+            self.accounts[lender].handle_repayment(payment)
 
     def repeat(self):
         """Messages that arrived once arrive again."""
         for lender, request in self.requests[-3:]:
-            self.accounts[lender].take_loan_request(request, lambda _: None)
+            self.accounts[lender].handle_loan_request(request, lambda _: None)
         for lender, payment in self.repayments[-3:]:
             self.pay(lender, payment)
 
--- a/features/steps/gateway_prepaid_steps.py
+++ b/features/steps/gateway_prepaid_steps.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 from platform_standins.fleet import eventually
 
-from aspengate.allowances import AllowanceSizing, Purse
+from aspengate.allowances import AllowanceSizing, TokenBalance
 from gateway_world import REPEATS, start
 
 EVENTS = 10
@@ -159,11 +159,11 @@
 @then("the killed run counts for what it used, one request, and what its witness was told ahead")
 def ahead_at_most(context):
     # As fast as can be, which is the highest rate of demand: all its requests at one moment.
-    purse = Purse(AllowanceSizing())
-    purse.granted = context.prepaid
+    balance = TokenBalance(AllowanceSizing())
+    balance.granted = context.prepaid
     for _ in range(context.killed_requests):
-        purse.reserve(PROMPT + MOST_OUTPUT, 0.0)
-    ahead = purse.sizing.ahead(purse.demand(0, 0.0))
+        balance.reserve(PROMPT + MOST_OUTPUT, 0.0)
+    ahead = balance.sizing.ceiling_headroom(balance.demand(0, 0.0))
     in_progress = MOST_OUTPUT - EVENTS * EVENT_TOKENS
     beyond = counted_beyond(context)
     assert 0 <= beyond <= ahead + in_progress, (beyond, ahead, context.killed_requests)
--- a/features/steps/outages_steps.py
+++ b/features/steps/outages_steps.py
@@ -5,7 +5,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from aspengate.allowances import AllowanceSizing, Demand, Holding
+from aspengate.allowances import AllocationState, AllowanceSizing, Demand
 from aspengate.clock import ManualClock
 from aspengate.store import OutageHistory
 
@@ -66,17 +66,19 @@
     "and {rate:d} used a second"
 )
 def account(context, limit, unheld, rate):
-    context.demand = Demand(committed=limit - unheld, waiting=0, per_second=rate, request=5_000)
+    context.demand = Demand(
+        committed=limit - unheld, waiting=0, per_second=rate, request_size=5_000
+    )
     context.limit, context.unheld = limit, unheld
 
 
 @when("an outage of {seconds:d} seconds was seen {ago:d} seconds ago")
 def seen_ago(context, seconds, ago):
-    holding = Holding(
+    holding = AllocationState(
         context.limit,
         context.unheld,
         routers=68,
-        part=1.0,
+        share=1.0,
         outage_ms=seconds * 1_000,
         readiness=min(1.0, ago / 10),
     )
@@ -99,8 +101,8 @@
         sizing = AllowanceSizing()
         unheld = min(unheld, limit)
         demand = Demand(limit - unheld, 0, float(rate), 1_000)
-        holding = Holding(limit, unheld, 68, used_part, lost, outage_ms, readiness)
-        most = max(sizing.outage_part, sizing.demand_part, sizing.equal_part)
+        holding = AllocationState(limit, unheld, 68, used_part, lost, outage_ms, readiness)
+        most = max(sizing.outage_fraction, sizing.demand_fraction, sizing.equal_share_fraction)
         assert 0 <= sizing.reserve(demand, holding) <= unheld * most
 
     context.check = check
--- a/features/steps/reserve_steps.py
+++ b/features/steps/reserve_steps.py
@@ -14,21 +14,21 @@
 def drew_tokens(context):
     context.world = World(LIMIT)
     assert context.world.reserve(0, 1_000)
-    purse = context.world.accounts[0].account("board").purse
-    context.before = (purse.committed, purse.lent, purse.reserved)
+    balance = context.world.accounts[0].account("board").balance
+    context.before = (balance.committed, balance.lent, balance.reserved)
 
 
 @when("another router asks it for a negative amount")
 def negative_amount(context):
     context.replies = []
     loan = LoanRequest(1, "router-1.2", "board", -500, 0)
-    context.world.accounts[0].take_loan_request(loan, context.replies.append)
+    context.world.accounts[0].handle_loan_request(loan, context.replies.append)
 
 
 @then("it refuses, and holds what it held")
 def holds_what_it_held(context):
-    purse = context.world.accounts[0].account("board").purse
-    assert (purse.committed, purse.lent, purse.reserved) == context.before
+    balance = context.world.accounts[0].account("board").balance
+    assert (balance.committed, balance.lent, balance.reserved) == context.before
     (reply,) = context.replies
     assert reply.given == 0 and reply.refused == "bad_request", reply
 
@@ -39,7 +39,7 @@
     assert world.reserve(1, 100)
     context.account = account = world.accounts[1].account("board")
     with account.changed:
-        account.purse.borrow(1_000)
+        account.balance.borrow(1_000)
         account.waiting += [Ticket(5_000), Ticket(500)]
 
 
@@ -48,9 +48,9 @@
     account = context.account
     context.large, context.small = account.waiting
     with account.changed:
-        account.give_up(context.large)
+        account.remove_waiting(context.large)
         context.asked = len(context.world.requests)
-        context.world.accounts[1].supply.ask_for_more(account, context.world.clock.monotonic_ms())
+        context.world.accounts[1].supply.request_tokens(account, context.world.clock.monotonic_ms())
 
 
 @then("the small one is granted, and no loan of less than nothing was asked for")
@@ -67,14 +67,14 @@
         assert world.reserve(0, 100)
         world.clock.advance(100)
     context.account = world.accounts[0].account("board")
-    purse = context.account.purse
-    assert purse.held > purse.free + 500, (purse.held, purse.free)
+    balance = context.account.balance
+    assert balance.held > balance.free + 500, (balance.held, balance.free)
     world.store.down = True
 
 
 @when("a call to the store has failed and requests go on")
 def requests_go_on(context):
-    context.held = context.account.purse.held
+    context.held = context.account.balance.held
     context.granted = sum(context.world.reserve(0, 100) for _ in range(context.held // 100 + 10))
     assert context.account.document is None
 
@@ -82,9 +82,9 @@
 @then("all that the router holds is used, as far as its witness hears of it")
 def all_is_used(context):
     assert context.granted == context.held // 100, (context.granted, context.held)
-    book = context.world.accounts[1].book
+    registry = context.world.accounts[1].ceilings
     session = context.world.session_of(0)
-    assert book.close(session)["board"] >= context.account.purse.committed
+    assert registry.close(session)["board"] >= context.account.balance.committed
 
 
 @when("the store is back and another router asks for a loan ahead of its needs")
@@ -96,7 +96,7 @@
     world.clock.advance(2_000)
     world.store.answered_ms = world.clock.monotonic_ms()
     loan = LoanRequest(1, "router-1.2", "board", 0, 200)
-    world.accounts[0].take_loan_request(loan, lambda _: None)
+    world.accounts[0].handle_loan_request(loan, lambda _: None)
     world.accounts[0].tick()
 
 
@@ -108,7 +108,7 @@
 @when("borrowers wait for its witness while a call to the store fails")
 def borrowers_wait(context):
     account, writer = context.account, context.world.accounts[0].writer
-    held = account.purse.held
+    held = account.balance.held
     context.tickets = [Ticket(held - 100, on_decided=lambda _: None) for _ in range(2)]
     context.tickets.append(Ticket(50, on_decided=lambda _: None))
     with account.changed:
@@ -140,7 +140,7 @@
                 loans._ask(3 - number, account, needed, extra)
             return True
 
-        loans.ask = ask
+        loans.borrow_from_primary = ask
     context.before = len(world.requests)
 
 
@@ -149,7 +149,7 @@
     world = context.world
     account = world.accounts[1].account("board")
     with account.changed:
-        world.accounts[1].supply.look_ahead(account, world.clock.monotonic_ms())
+        world.accounts[1].supply.prefetch(account, world.clock.monotonic_ms())
 
 
 @then("no more than one loan is asked for")
@@ -166,7 +166,7 @@
         assert world.reserve(0, 1_000)
         world.accounts[0].tick()
     account = world.accounts[0].account("board")
-    assert account.purse.held > 10_000, account.purse.held
+    assert account.balance.held > 10_000, account.balance.held
     world.primary = 1
 
 
@@ -192,17 +192,17 @@
 @then("the document allows it no more than it uses any more")
 def allows_no_more(context):
     world = context.world
-    purse = world.accounts[0].account("board").purse
+    balance = world.accounts[0].account("board").balance
     document = decode_document(world.store.get(KEY).value)
     assert document.allowance("router-9.1") == 10
-    assert document.allowance(world.session_of(0)) == purse.granted, (document, purse.granted)
-    assert purse.held < 10_000, purse.held
+    assert document.allowance(world.session_of(0)) == balance.granted, (document, balance.granted)
+    assert balance.held < 10_000, balance.held
 
 
 @when("the new primary is asked for more than nobody holds")
 def asked_for_more(context):
     world = context.world
-    held = world.accounts[0].account("board").purse.held
+    held = world.accounts[0].account("board").balance.held
     while left_to(world, 1) >= held:
         assert world.reserve(1, 5_000)
     context.served = world.reserve(1, held)
@@ -211,8 +211,8 @@
 def left_to(world, number):
     """Return what a router could use without any other one's help."""
     document = decode_document(world.store.get(KEY).value)
-    purse = world.accounts[number].account("board").purse
-    return document.limit - document.committed + max(0, purse.held)
+    balance = world.accounts[number].account("board").balance
+    return document.limit - document.committed + max(0, balance.held)
 
 
 @then("it serves the request with what the first one holds, and overspends nothing")
--- a/features/steps/witness_steps.py
+++ b/features/steps/witness_steps.py
@@ -7,7 +7,7 @@
 from platform_standins.fleet import eventually
 
 from allowance_world import World
-from aspengate.allowances import WitnessBook
+from aspengate.allowances import CeilingRegistry
 from aspengate.clock import SystemClock
 from aspengate.gateway.prepaid import PeerLoans, RemoteWitness
 from aspengate.peers import (
@@ -54,39 +54,39 @@
 
 @when("the first notices to the peer are lost")
 def notices_lost(context):
-    context.witness.want("board", 500)
+    context.witness.request_ceiling("board", 500)
     assert eventually(lambda: len(context.notices) >= 2)
 
 
 @then("the ceiling counts once a repeated notice is answered")
 def counts_once_answered(context):
-    assert context.accepted == {} and context.witness.accepted("board", "b.1") == 0
+    assert context.accepted == {} and context.witness.accepted_ceiling("board", "b.1") == 0
     notice, address = context.notices[-1]
     assert (notice.witness, notice.ceilings, address) == ("b.1", {"board": 500}, "10.0.0.2:1")
-    context.witness.take_reply(CeilingReply(notice.number, "a.1", "b.1", True))
+    context.witness.handle_reply(CeilingReply(notice.number, "a.1", "b.1", True))
     assert context.accepted == {"board": 500}
-    assert context.witness.accepted("board", "b.1") == 500
-    assert context.witness.ensure("board", 400) == ("b.1", 500)
+    assert context.witness.accepted_ceiling("board", "b.1") == 500
+    assert context.witness.ensure_ceiling("board", 400) == ("b.1", 500)
 
 
 @when("the peer answers in another life")
 def another_life(context):
-    context.witness.want("board", 500)
+    context.witness.request_ceiling("board", 500)
     assert eventually(lambda: context.notices)
     notice, _ = context.notices[0]
-    context.witness.take_reply(CeilingReply(notice.number, "a.1", "b.2", False))
+    context.witness.handle_reply(CeilingReply(notice.number, "a.1", "b.2", False))
 
 
 @then("the router has no ceiling, and knows that it lost its witness")
 def lost_witness(context):
     assert context.lost.is_set()
-    assert context.accepted == {} and context.witness.accepted("board", "b.1") == 0
-    assert context.witness.ensure("board", 10) == ("", 0)
+    assert context.accepted == {} and context.witness.accepted_ceiling("board", "b.1") == 0
+    assert context.witness.ensure_ceiling("board", 10) == ("", 0)
 
 
 @when("the one that it chose does not answer")
 def no_answer(context):
-    context.witness.want("board", 500)
+    context.witness.request_ceiling("board", 500)
     assert context.lost.wait(60)
     context.first = {notice.witness for notice, _ in context.notices}
     context.notices.clear()
@@ -94,39 +94,39 @@
 
 @then("the other one becomes its witness")
 def other_one(context):
-    context.witness.want("board", 500)
+    context.witness.request_ceiling("board", 500)
     assert eventually(lambda: context.notices)
     notice, _ = context.notices[0]
     assert context.first | {notice.witness} == {"b.1", "c.1"}, context.first
-    context.witness.take_reply(CeilingReply(notice.number, "a.1", notice.witness, True))
-    assert context.witness.ensure("board", 500) == (notice.witness, 500)
+    context.witness.handle_reply(CeilingReply(notice.number, "a.1", notice.witness, True))
+    assert context.witness.ensure_ceiling("board", 500) == (notice.witness, 500)
 
 
 @given("a book that holds a session's ceilings")
 def a_book(context):
-    context.book = WitnessBook(capacity=2)
-    assert context.book.accept("a.1", {"board": 500}, 0.0)
-    assert context.book.accept("a.1", {"board": 300, "other": 7}, 1.0)
+    context.registry = CeilingRegistry(capacity=2)
+    assert context.registry.accept("a.1", {"board": 500}, 0.0)
+    assert context.registry.accept("a.1", {"board": 300, "other": 7}, 1.0)
 
 
 @when("the session is closed")
 def closed(context):
-    context.ceilings = context.book.close("a.1")
+    context.ceilings = context.registry.close("a.1")
 
 
 @then("no more is accepted from it, and its ceilings stay as they were")
 def final(context):
     assert context.ceilings == {"board": 500, "other": 7}
-    assert not context.book.accept("a.1", {"board": 900}, 2.0)
-    assert context.book.close("a.1") == context.ceilings
-    assert context.book.is_closed("a.1") and context.book.close("x.1") is None
+    assert not context.registry.accept("a.1", {"board": 900}, 2.0)
+    assert context.registry.close("a.1") == context.ceilings
+    assert context.registry.is_closed("a.1") and context.registry.close("x.1") is None
 
 
 @then("a book that is full takes no new session")
 def full(context):
-    assert context.book.accept("d.1", {"board": 1}, 2.0)
-    assert not context.book.accept("e.1", {"board": 1}, 2.0)
-    assert context.book.silent(3.0) == {"d.1": ("board",)}
+    assert context.registry.accept("d.1", {"board": 1}, 2.0)
+    assert not context.registry.accept("e.1", {"board": 1}, 2.0)
+    assert context.registry.unresponsive(3.0) == {"d.1": ("board",)}
 
 
 @given("a port for datagrams whose handler fails on the first message")
@@ -211,10 +211,10 @@
         NullCounters(),
         lambda message, address: context.sent.append(message),
     )
-    context.loans.on_loan = context.taken.append
+    context.loans.on_loan_reply = context.taken.append
     context.loans.start()
     context.cleanup.callback(context.loans.close)
-    assert context.loans.ask("board", amount, 0)
+    assert context.loans.borrow_from_primary("board", amount, 0)
 
 
 @when("the primary has served it, and all answers are lost until the request was given up")
@@ -226,8 +226,8 @@
 def takes_once(context):
     asked = next(message for message in list(context.sent) if message.repeats)
     reply = LoanReply(asked.number, "a.1", "board", 500)
-    context.loans.take_reply(reply)
-    context.loans.take_reply(reply)
+    context.loans.handle_reply(reply)
+    context.loans.handle_reply(reply)
     assert [each.given for each in context.taken] == [500], context.taken
 
 
@@ -243,7 +243,7 @@
     accounts = context.world.accounts[0]
     for repeats in (True, False):
         request = LoanRequest(7, "router-1.2", "board", 100, 0, False, repeats)
-        accounts.take_loan_request(request, context.replies.append)
+        accounts.handle_loan_request(request, context.replies.append)
 
 
 @then("the lender gives nothing")
--- a/src/aspengate/allowances/__init__.py
+++ b/src/aspengate/allowances/__init__.py
@@ -3,6 +3,7 @@
 The modules here decide and hold state; they call no store, and take the time as a parameter.
 """
 
+from aspengate.allowances._balance import TokenBalance
 from aspengate.allowances._document import (
     AllowanceDocument,
     close_session,
@@ -13,22 +14,21 @@
     session_name,
     set_allowance,
 )
-from aspengate.allowances._purse import Purse
 from aspengate.allowances._restoration import (
     adopt_document,
     restore_document,
     restore_sessions,
 )
-from aspengate.allowances._sizing import AllowanceSizing, Demand, Holding
-from aspengate.allowances._witness import WitnessBook
+from aspengate.allowances._sizing import AllocationState, AllowanceSizing, Demand
+from aspengate.allowances._witness import CeilingRegistry
 
 __all__ = [
+    "AllocationState",
     "AllowanceDocument",
     "AllowanceSizing",
+    "CeilingRegistry",
     "Demand",
-    "Holding",
-    "Purse",
-    "WitnessBook",
+    "TokenBalance",
     "adopt_document",
     "close_session",
     "decode_document",
--- a/src/aspengate/allowances/_purse.py
+++ b/src/aspengate/allowances/_balance.py
@@ -3,7 +3,7 @@
 import math
 
 from aspengate.allowances._document import AllowanceDocument
-from aspengate.allowances._sizing import AllowanceSizing, Demand, Holding
+from aspengate.allowances._sizing import AllocationState, AllowanceSizing, Demand
 from aspengate.errors import AspengateError, ErrorKind
 from aspengate.store import OutageOutlook
 
@@ -13,7 +13,7 @@
 NO_OUTAGE = OutageOutlook()
 
 
-class Purse:
+class TokenBalance:
     """Counts what a session may use of one account, what it reserved, and what it used.
 
     ``granted`` is what the store is known to allow; it is lowered before a lower allowance is
@@ -121,7 +121,7 @@
             committed=self.committed,
             waiting=waiting,
             per_second=self._per_second(now_ms),
-            request=int(self._request) or waiting,
+            request_size=int(self._request) or waiting,
         )
 
     def target(
@@ -142,28 +142,28 @@
         nothing is kept beyond what requests need. The primary keeps the reserve for all, which
         follows the ``outage`` that is expected.
         """
-        most = document.most_for(session, limit)
+        max_allowance = document.max_allowance(session, limit)
         needed = demand.committed + demand.waiting
-        if needed > most:
+        if needed > max_allowance:
             return demand.committed
         if idle:
             return needed
-        holding = Holding(
+        state = AllocationState(
             limit=limit,
-            unheld=most - needed,
+            unallocated=max_allowance - needed,
             routers=routers,
-            part=1.0 if is_primary else document.part_of(session),
+            share=1.0 if is_primary else document.share_of(session),
             lost_sessions=document.lost_sessions,
             outage_ms=outage.length_ms,
             readiness=outage.readiness,
         )
-        reserve = self.sizing.reserve(demand, holding)
+        reserve = self.sizing.reserve(demand, state)
         if not is_primary:
-            reserve = min(reserve, self.sizing.at_hand(demand))
+            reserve = min(reserve, self.sizing.borrower_reserve(demand))
         return needed + reserve
 
     def _per_second(self, now_ms: float) -> float:
-        """Return the rate of demand; what is seen of a young purse is scaled up."""
+        """Return the rate of demand; what is seen of a young balance is scaled up."""
         if self._first_ms is None:
             return 0.0
         age_ms = max(_LEAST_AGE_MS, now_ms - self._first_ms)
--- a/src/aspengate/allowances/_document.py
+++ b/src/aspengate/allowances/_document.py
@@ -1,13 +1,13 @@
 """The value of one account's prepaid tokens in the store, and the only changes that it allows.
 
 A *session* is one run of one router. Its *allowance* is the most tokens that it may use in its
-whole life. The one rule is that what closed sessions used and what all others may use stays
+in its lifetime. The one rule is that what closed sessions used and what all others may use stays
 within the account's limit whenever an allowance is raised. It holds in one value that is changed
 by compare-and-swap, so that neither a pause, a cut nor a lost answer can break it.
 
 A session that is never heard of again keeps what it was allowed, unless the document names a
 *witness* for it: another router that was told the most that the session may use, its *ceiling*,
-before it was used. See ``WitnessBook``.
+before it was used. See ``CeilingRegistry``.
 """
 
 from typing import TypeVar
@@ -74,7 +74,7 @@
         return self.closed + sum(self.sessions.values())
 
     def allowance(self, session: str) -> int:
-        """Return what ``session`` may use in its life."""
+        """Return what ``session`` may use in its lifetime."""
         return self.sessions.get(session, 0)
 
     def witness(self, session: str) -> str:
@@ -95,21 +95,21 @@
         """How many sessions ended without settling, as far as their router runs again."""
         return len(self.sessions) - len({router_of(session) for session in self.sessions})
 
-    def part_of(self, session: str) -> float:
+    def share_of(self, session: str) -> float:
         """Return the part, 0 to 1, of the router of ``session`` in what all sessions may use."""
         router = router_of(session)
         own = sum(value for name, value in self.sessions.items() if router_of(name) == router)
         everyone = sum(self.sessions.values())
         return min(1.0, max(0.0, own / everyone)) if everyone > 0 else 0.0
 
-    def most_for(self, session: str, limit: int) -> int:
+    def max_allowance(self, session: str, limit: int) -> int:
         """Return the highest allowance that ``session`` can have within ``limit``."""
         return limit - (self.committed - self.allowance(session))
 
 
-def session_name(router: str, life: str) -> str:
-    """Return the name of one run, ``life``, of a router."""
-    return f"{router}.{life}"
+def session_name(router: str, incarnation: str) -> str:
+    """Return the name of one run, ``incarnation``, of a router."""
+    return f"{router}.{incarnation}"
 
 
 def router_of(session: str) -> str:
@@ -126,7 +126,7 @@
     after an operator has cut the limit below what is committed.
     """
     before = document.allowance(session)
-    if allowance > before and allowance > document.most_for(session, limit):
+    if allowance > before and allowance > document.max_allowance(session, limit):
         raise AspengateError(ErrorKind.CONFLICT, "allowance above the account's limit")
     sessions = {**document.sessions, session: allowance}
     witnesses = _without(document.witnesses, {session})
--- a/src/aspengate/allowances/_witness.py
+++ b/src/aspengate/allowances/_witness.py
@@ -16,7 +16,7 @@
     heard_ms: float = 0.0
 
 
-class WitnessBook:
+class CeilingRegistry:
     """Ceilings by session, raised by the session itself and closed once, for good.
 
     A session uses no more than its witness has accepted. Once ``close`` has returned a session's
@@ -67,7 +67,7 @@
             entry = self._entries.get(session)
             return entry is not None and entry.closed
 
-    def silent(self, before_ms: float) -> dict[str, tuple[str, ...]]:
+    def unresponsive(self, before_ms: float) -> dict[str, tuple[str, ...]]:
         """Return the accounts of each open session that was last heard before ``before_ms``."""
         with self._lock:
             return {
--- a/src/aspengate/gateway/_daemon.py
+++ b/src/aspengate/gateway/_daemon.py
@@ -312,32 +312,32 @@
         return PeerLoans(members.own, members, self.clock, self.counters, self.peering.send)
 
     def _connect_tokens(self) -> None:
-        self.witness.on_accepted = self.tokens.take_accepted
-        self.witness.on_lost = self.tokens.take_lost_witness
-        self.loans.on_loan = self.tokens.take_loan
-        self.loans.on_failed = self.tokens.take_failed_loan
-        self.loans.on_others_done = self.tokens.take_others_done
+        self.witness.on_accepted = self.tokens.handle_accepted_ceilings
+        self.witness.on_lost = self.tokens.handle_lost_witness
+        self.loans.on_loan_reply = self.tokens.handle_loan_reply
+        self.loans.on_failed = self.tokens.handle_loan_failure
+        self.loans.on_lenders_done = self.tokens.handle_lenders_done
         self.loans.reaches_store = self._can_draw
         self.peering.on_reply = self._on_reply
         self.tokens.restorer.others_restored = self.peering.members.have_restored
         self.tokens.on_restored = self.peering.tell_now
         self.peering.restored_era = lambda: self.tokens.restored_era
-        self.tokens.writer.tell_grant = self.peering.tell_grant
-        self.tokens.writer.outlook = lambda: self.peering.outages.outlook
+        self.tokens.writer.announce_grant = self.peering.tell_grant
+        self.tokens.writer.outage_outlook = lambda: self.peering.outages.outlook
 
     def _can_draw(self) -> bool:
         """Return whether the store seems to answer this router."""
         now = self.clock.monotonic_ms()
-        return self.peering.reaches_store and not self.tokens.writer.seems_down(now)
+        return self.peering.reaches_store and not self.tokens.writer.store_seems_down(now)
 
     def _on_reply(self, reply: Reply) -> None:
         match reply:
             case CeilingReply():
-                self.witness.take_reply(reply)
+                self.witness.handle_reply(reply)
             case LoanReply():
-                self.loans.take_reply(reply)
+                self.loans.handle_reply(reply)
             case RepaymentReply():
-                self.loans.take_repayment_reply(reply)
+                self.loans.handle_repayment_reply(reply)
 
     def _make_tokens(self) -> TokenAccounts:
         return TokenAccounts(
--- a/src/aspengate/gateway/_peer_services.py
+++ b/src/aspengate/gateway/_peer_services.py
@@ -58,16 +58,16 @@
 
     def take_loan_request(self, request: LoanRequest, answer: Callable[[LoanReply], None]) -> None:
         """Lend another router tokens; ``answer`` is called once it is decided how many."""
-        self._tokens().take_loan_request(request, answer)
+        self._tokens().handle_loan_request(request, answer)
 
     def take_repayment(self, payment: Repayment) -> bool:
         """Take tokens back from another router; return whether they count now."""
-        return self._tokens().take_repayment(payment)
+        return self._tokens().handle_repayment(payment)
 
     def accept_ceilings(self, notice: CeilingNotice) -> bool:
         """Witness the most that another router's session will use."""
         now = self._clock.monotonic_ms()
-        return self._tokens().book.accept(notice.session, notice.ceilings, now)
+        return self._tokens().ceilings.accept(notice.session, notice.ceilings, now)
 
     def close_witnessed(self, session: str) -> dict[str, int] | None:
         """Accept no more of a session; return its ceilings by account, None if not known."""
@@ -75,7 +75,7 @@
 
     def take_grants(self, notice: GrantNotice) -> None:
         """Remember what the store granted another router's session."""
-        self._tokens().take_grants(notice.grants)
+        self._tokens().handle_grants(notice.grants)
 
     def take_placed(self, placed: PlacedRequest) -> None:
         """Note a request that another router has sent to a replica."""
--- a/src/aspengate/gateway/prepaid/_account.py
+++ b/src/aspengate/gateway/prepaid/_account.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from aspengate.allowances import AllowanceDocument, Purse
+from aspengate.allowances import AllowanceDocument, TokenBalance
 from aspengate.errors import AspengateError, ErrorKind
 from aspengate.store import StoreItem, make_revision
 
@@ -24,15 +24,15 @@
     """A request that waits for tokens.
 
     ``on_decided`` is called once it is granted or refused, with the account's lock held.
-    ``passed_over`` means that the source which was asked has none; it is not decided yet. Once
-    it ``asks_others``, only these tell that.
+    ``source_failed`` means that the source which was asked has none; it is not decided yet. Once
+    it ``awaits_lenders``, only these tell that.
     """
 
     amount: int
     granted: bool = False
     refused: ErrorKind | None = None
-    passed_over: bool = False
-    asks_others: bool = False
+    source_failed: bool = False
+    awaits_lenders: bool = False
     on_decided: "Callable[[Ticket], None] | None" = None
 
     @property
@@ -50,7 +50,7 @@
 
 @dataclass
 class Account:
-    """One account's purse with what is known of its document; guarded by ``changed``.
+    """One account's balance with what is known of its document; guarded by ``changed``.
 
     ``session`` is this router's own, under which the document lists what it may use.
     ``limit`` is what it may use in all, as the last configuration said.
@@ -59,7 +59,7 @@
     also while ``document`` is not believed. ``restores`` means that the store came back from an
     older copy and holds less than is known here, ``is_unchecked`` that this is not known yet,
     ``is_copy`` that what it holds is of before, and
-    ``recalls_others`` that it may lack what this router remembers of other sessions.
+    ``recovers_others`` that it may lack what this router remembers of other sessions.
 
     ``uncertain`` means that a write without an answer may still take effect while the document
     is unchanged: only another write, which moves the revision on, rules that out. ``listed``
@@ -74,17 +74,17 @@
     """
 
     name: str
-    purse: Purse
+    balance: TokenBalance
     session: str = ""
     limit: int = 0
     document: AllowanceDocument | None = None
     revision: int = 0
     known: AllowanceDocument | None = None
     known_revision: int = 0
-    restores: bool = False
+    needs_restore: bool = False
     is_unchecked: bool = False
     is_copy: bool = False
-    recalls_others: bool = False
+    recovers_others: bool = False
     working: bool = False
     uncertain: bool = False
     listed: bool = False
@@ -108,10 +108,10 @@
     @property
     def is_lowered(self) -> bool:
         """Whether less is used than the document allows; nobody else gets the rest meanwhile."""
-        document, purse = self.document, self.purse
+        document, balance = self.document, self.balance
         if document is None or not self.listed:
             return False
-        return purse.granted < document.allowance(self.session)
+        return balance.granted < document.allowance(self.session)
 
     @property
     def waited_for(self) -> int:
@@ -123,18 +123,18 @@
         """The first waiting request of this router's own callers."""
         return next((ticket for ticket in self.waiting if ticket.on_decided is None), None)
 
-    def take(self, document: AllowanceDocument, item: StoreItem | None) -> None:
+    def set_document(self, document: AllowanceDocument, item: StoreItem | None) -> None:
         """Believe a document that was read."""
         self.document = document
         self.revision = item.revision if item else 0
 
-    def note_known(self, era: int) -> None:
+    def record_stored(self, era: int) -> None:
         """Note that the store holds the present document in its history ``era``."""
         self.known = self.document
         self.known_revision = max(self.revision, make_revision(era, 0))
-        self.restores = False
+        self.needs_restore = False
         self.is_unchecked = False
-        self.recalls_others = False
+        self.recovers_others = False
 
     def grant_waiting(self, now_ms: float) -> None:
         """Grant the waiting requests that are covered, in order; call it with the lock held.
@@ -142,7 +142,7 @@
         What is told of a decision may come back here before the next request is looked at.
         """
         for ticket in list(self.waiting):
-            if ticket in self.waiting and self.purse.reserve(ticket.amount, now_ms):
+            if ticket in self.waiting and self.balance.reserve(ticket.amount, now_ms):
                 self.waiting.remove(ticket)
                 ticket.decide()
         self.changed.notify_all()
@@ -154,7 +154,7 @@
             ticket.decide(refused=kind)
         self.changed.notify_all()
 
-    def pass_over(self, *, borrowers: bool, held: int = 0) -> None:
+    def try_next_source(self, *, borrowers: bool, held: int = 0) -> None:
         """Have waiting requests look elsewhere; with ``borrowers``, refuse those of others too.
 
         The first ones that ``held`` tokens cover go on waiting: only their witness is to hear of
@@ -164,19 +164,19 @@
             if ticket.amount <= held:
                 held -= ticket.amount
             elif ticket.on_decided is None:
-                ticket.passed_over = ticket.passed_over or not ticket.asks_others
+                ticket.source_failed = ticket.source_failed or not ticket.awaits_lenders
             elif borrowers:
                 self.waiting.remove(ticket)
                 ticket.decide(refused=ErrorKind.BUDGET_UNAVAILABLE)
         self.changed.notify_all()
 
-    def pass_over_asking(self) -> None:
+    def stop_borrowing(self) -> None:
         """Have those that asked other routers know that these have none; the lock is held."""
         for ticket in self.waiting:
-            ticket.passed_over = ticket.passed_over or ticket.asks_others
+            ticket.source_failed = ticket.source_failed or ticket.awaits_lenders
         self.changed.notify_all()
 
-    def give_up(self, ticket: Ticket) -> None:
+    def remove_waiting(self, ticket: Ticket) -> None:
         """Forget a request that waits no longer; call it with the lock held."""
         if ticket in self.waiting:
             self.waiting.remove(ticket)
--- a/src/aspengate/gateway/prepaid/_accounts.py
+++ b/src/aspengate/gateway/prepaid/_accounts.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from concurrent.futures import Executor, Future, ThreadPoolExecutor, wait
 
-from aspengate.allowances import AllowanceSizing, Purse, WitnessBook
+from aspengate.allowances import AllowanceSizing, CeilingRegistry, TokenBalance
 from aspengate.clock import Clock
 from aspengate.configuration import ClientAccount
 from aspengate.connections import Waiter
@@ -45,10 +45,10 @@
 
 
 class TokenAccounts:
-    """The purses of all accounts that this router spends from.
+    """The balances of all accounts that this router spends from.
 
     ``limit_of`` finds an account's limit by name. ``loans`` asks other routers for tokens.
-    ``witness`` is told this session's ceilings, ``book`` holds those of the sessions that this
+    ``witness`` is told this session's ceilings, ``ceilings`` holds those of the sessions that this
     router witnesses, and ``sessions`` tells which of them run. ``reaches_store`` tells whether
     the store answers other calls, and ``executor`` runs the calls to it.
     """
@@ -69,11 +69,11 @@
         executor: Executor | None = None,
     ) -> None:
         self.session = session
-        self.book = WitnessBook()
+        self.ceilings = CeilingRegistry()
         self.sizing = sizing or AllowanceSizing()
         self.sessions = sessions
         self.loans = loans
-        self.restorer = DocumentRestorer(session, store, clock, counters, self.book, sessions)
+        self.restorer = DocumentRestorer(session, store, clock, counters, self.ceilings, sessions)
         self.writer = DocumentWriter(
             session=session,
             store=store,
@@ -97,7 +97,7 @@
             limit_of=limit_of,
             executor=self._executor,
         )
-        self.writer.ask_holders = self.supply.ask_holders
+        self.writer.borrow_from_holders = self.supply.borrow_from_holders
         self.on_restored: Callable[[], None] = lambda: None
         self._checked_era = 0
         self._checked_ms = float("-inf")
@@ -128,8 +128,8 @@
         now = self._clock.monotonic_ms()
         with account.changed:
             account.used_ms = now
-            if not account.waiting and account.purse.reserve(amount, now):
-                self.supply.look_ahead(account, now)
+            if not account.waiting and account.balance.reserve(amount, now):
+                self.supply.prefetch(account, now)
                 return
             if now < account.exhausted_until_ms and amount >= account.exhausted_amount:
                 raise account.exhausted()
@@ -138,7 +138,7 @@
             try:
                 self._wait_for(account, ticket, waiter, now)
             finally:
-                account.give_up(ticket)
+                account.remove_waiting(ticket)
         if ticket.granted:
             return
         if ticket.refused is ErrorKind.BUDGET_EXHAUSTED:
@@ -152,23 +152,25 @@
         account = self.account(client.name)
         now = self._clock.monotonic_ms()
         with account.changed:
-            account.purse.settle(reserved, used)
+            account.balance.settle(reserved, used)
             if now < account.scarce_until_ms:
-                self.supply.give_back(account, now)
+                self.supply.return_surplus(account, now)
 
-    def take_loan_request(self, request: LoanRequest, answer: Callable[[LoanReply], None]) -> None:
+    def handle_loan_request(
+        self, request: LoanRequest, answer: Callable[[LoanReply], None]
+    ) -> None:
         """Serve another router's request for tokens."""
-        self.lender.take_request(self.account(request.account), request, answer)
+        self.lender.handle_request(self.account(request.account), request, answer)
 
-    def take_repayment(self, payment: Repayment) -> bool:
+    def handle_repayment(self, payment: Repayment) -> bool:
         """Take tokens that another router pays back."""
-        return self.lender.take_repayment(self.account(payment.account), payment)
+        return self.lender.handle_repayment(self.account(payment.account), payment)
 
-    def take_grants(self, grants: Iterable[Grant]) -> None:
+    def handle_grants(self, grants: Iterable[Grant]) -> None:
         """Remember what the store granted another router's session."""
-        self.restorer.heard_grants.note(grants)
+        self.restorer.peer_grants.record(grants)
 
-    def take_loan(self, reply: LoanReply) -> None:
+    def handle_loan_reply(self, reply: LoanReply) -> None:
         """Take the answer of another router that was asked for tokens."""
         account = self.account(reply.account)
         now = self._clock.monotonic_ms()
@@ -176,38 +178,38 @@
             if reply.scarce:
                 account.scarce_until_ms = now + _SCARCE_MS
             if reply.given:
-                account.purse.borrow(reply.given)
+                account.balance.borrow(reply.given)
                 self._counters.count("allowances.borrowed")
                 log_change("allowance.borrowed", account=account.name, amount=reply.given)
             if reply.refused == ErrorKind.BUDGET_EXHAUSTED.value:
                 self._refuse_first(account, now)
             elif reply.refused:
-                self._pass_over(account, now)
+                self._try_next_source(account, now)
             account.grant_waiting(now)
             if account.waiting and not reply.refused:
-                self.supply.ask_for_more(account, now)
+                self.supply.request_tokens(account, now)
 
-    def take_failed_loan(self, name: str) -> None:
+    def handle_loan_failure(self, name: str) -> None:
         """Have requests that wait for a loan wait for something else."""
         account = self.account(name)
         with account.changed:
-            self._pass_over(account, self._clock.monotonic_ms())
+            self._try_next_source(account, self._clock.monotonic_ms())
 
-    def take_others_done(self, name: str) -> None:
+    def handle_lenders_done(self, name: str) -> None:
         """Have requests that asked other routers know at once that these give no more tokens."""
         account = self.account(name)
         with account.changed:
             asked_holders = account.asking_holders_until_ms > 0
             account.asking_holders_until_ms = 0.0
-            account.pass_over_asking()
+            account.stop_borrowing()
             if asked_holders and account.waiting:
                 self.supply.schedule(account)
 
     def close_witnessed(self, session: str) -> dict[str, int] | None:
         """Accept no more of a session; return its ceilings by account, None if not known."""
-        return self.book.close(session)
+        return self.ceilings.close(session)
 
-    def take_accepted(self, witness: str, ceilings: Mapping[str, int]) -> None:
+    def handle_accepted_ceilings(self, witness: str, ceilings: Mapping[str, int]) -> None:
         """Take ceilings that the session's witness has accepted."""
         now = self._clock.monotonic_ms()
         for name, ceiling in ceilings.items():
@@ -218,7 +220,7 @@
                     if account.waiting:
                         self.supply.draw(account, now)
 
-    def take_lost_witness(self) -> None:
+    def handle_lost_witness(self) -> None:
         """Have requests that wait for a ceiling wait for the store instead."""
         for account in self._all():
             with account.changed:
@@ -236,22 +238,22 @@
                 account.exhausted_until_ms = 0.0
                 account.scarce_until_ms = 0.0
                 if limit < before:
-                    self.supply.hand_over(account, now)
+                    self.supply.return_unused(account, now)
                 elif account.waiting:
-                    self.supply.ask_for_more(account, now)
+                    self.supply.request_tokens(account, now)
 
     def gauges(self) -> dict[str, float]:
-        """Return what all purses together hold, in tokens."""
+        """Return what all balances together hold, in tokens."""
         accounts = self._all()
-        purses = [account.purse for account in accounts]
+        balances = [account.balance for account in accounts]
         documents = [account.document for account in accounts if account.document is not None]
         return {
             "accounts_undercounted": sum(document.is_undercounted for document in documents),
-            "tokens_granted": sum(purse.granted for purse in purses),
-            "tokens_used": sum(purse.used for purse in purses),
-            "tokens_reserved": sum(purse.reserved for purse in purses),
-            "tokens_borrowed": sum(purse.borrowed for purse in purses),
-            "tokens_lent": sum(purse.lent for purse in purses),
+            "tokens_granted": sum(balance.granted for balance in balances),
+            "tokens_used": sum(balance.used for balance in balances),
+            "tokens_reserved": sum(balance.reserved for balance in balances),
+            "tokens_borrowed": sum(balance.borrowed for balance in balances),
+            "tokens_lent": sum(balance.lent for balance in balances),
         }
 
     def tick(self) -> None:
@@ -259,9 +261,9 @@
         now = self._clock.monotonic_ms()
         for account in self._all():
             with account.changed:
-                self.supply.give_back(account, now)
+                self.supply.return_surplus(account, now)
         self.supply.sweep()
-        for session, names in self.book.silent(now - _SILENT_MS).items():
+        for session, names in self.ceilings.unresponsive(now - _SILENT_MS).items():
             if not self.sessions.is_alive(session):
                 self._close_silent(session, names)
 
@@ -273,7 +275,7 @@
         era = self.restorer.era
         accounts = self._all()
         spread_ms = self.routers * len(accounts) * _RESTORE_GAP_MS
-        self.restorer.settle(_SETTLE_MS + spread_ms, has_returned=has_returned)
+        self.restorer.begin_grace_period(_SETTLE_MS + spread_ms, has_returned=has_returned)
         if not has_returned:
             # The run before this one may have died with what it drew: others are to see to that.
             self._checked_era = era
@@ -313,16 +315,16 @@
         self._checked_era = era
         self._note_checked()
         self._clock.sleep_ms(_SILENT_RESTORE_MS)
-        self.restorer.recalls_silent = True
+        self.restorer.recovers_unresponsive = True
         self._check_documents(set())
 
     def _check_documents(self, names: set[str]) -> None:
         """Look at the documents of some accounts, and of those that others' sessions drew from."""
-        recalled = self.restorer.recalled_accounts()
+        recalled = self.restorer.accounts_to_recover()
         for account in map(self.account, names | recalled):
             with account.changed:
                 account.document = None
-                account.recalls_others = account.name in recalled
+                account.recovers_others = account.name in recalled
                 account.is_unchecked = True
                 if account.working:
                     self.supply.schedule_later(account)
@@ -340,7 +342,7 @@
         with self._lock:
             account = self._accounts.get(name)
             if account is None:
-                account = Account(name, Purse(self.sizing), self.session)
+                account = Account(name, TokenBalance(self.sizing), self.session)
                 source = self.supply.limit_of(name)
                 account.limit = source.limit if source else 0
                 self._accounts[name] = account
@@ -352,17 +354,19 @@
 
     def _wait_for(self, account: Account, ticket: Ticket, waiter: Waiter, now: float) -> None:
         """Wait for a ticket's tokens, from one source after the other; the lock is held."""
-        patience_ms = self.supply.ask_for_more(account, now)
+        patience_ms = self.supply.request_tokens(account, now)
         self._await(account, ticket, waiter, now + patience_ms)
         if ticket.decided:
             return
         now = self._clock.monotonic_ms()
-        if self.loans.ask_next(account.name, ticket.amount - max(0, account.purse.free)):
+        if self.loans.borrow_from_successor(
+            account.name, ticket.amount - max(0, account.balance.free)
+        ):
             self._await(account, ticket, waiter, now + _NEXT_PATIENCE_MS)
             if ticket.decided:
                 return
             now = self._clock.monotonic_ms()
-        if not self.writer.seems_down(now):
+        if not self.writer.store_seems_down(now):
             self.supply.schedule(account)
             self._await(account, ticket, waiter, now + _LONGEST_WAIT_MS)
         if ticket.decided:
@@ -371,9 +375,11 @@
         account.grant_waiting(now)
         if ticket.decided:
             return
-        needed = ticket.amount - max(0, account.purse.free)
-        if now >= account.others_empty_until_ms and self.loans.ask_others(account.name, needed):
-            ticket.asks_others = True
+        needed = ticket.amount - max(0, account.balance.free)
+        if now >= account.others_empty_until_ms and self.loans.borrow_from_others(
+            account.name, needed
+        ):
+            ticket.awaits_lenders = True
             self._await(account, ticket, waiter, now + _OTHERS_PATIENCE_MS)
             if not ticket.decided:
                 account.others_empty_until_ms = now + _UNAVAILABLE_MS
@@ -381,14 +387,14 @@
     def _await(self, account: Account, ticket: Ticket, waiter: Waiter, until_ms: float) -> None:
         """Wait for a decision on a ticket; call it with the account's lock held."""
         last = min(until_ms, waiter.deadline_ms)
-        while not ticket.decided and not ticket.passed_over:
+        while not ticket.decided and not ticket.source_failed:
             remaining = last - self._clock.monotonic_ms()
             if remaining <= 0:
                 break
             account.changed.wait(min(_CALLER_CHECK_S, remaining / 1_000))
             if not ticket.decided:
                 waiter.check_caller()
-        ticket.passed_over = False
+        ticket.source_failed = False
 
     def _refuse_first(self, account: Account, now: float) -> None:
         ticket = account.first_own
@@ -399,21 +405,21 @@
         account.exhausted_amount = ticket.amount
         ticket.decide(refused=ErrorKind.BUDGET_EXHAUSTED)
         account.changed.notify_all()
-        self.supply.ask_for_more(account, now)
+        self.supply.request_tokens(account, now)
 
-    def _pass_over(self, account: Account, now: float) -> None:
+    def _try_next_source(self, account: Account, now: float) -> None:
         account.unavailable_until_ms = now + _UNAVAILABLE_MS
-        account.pass_over(borrowers=False)
+        account.try_next_source(borrowers=False)
 
     def _is_dead(self, session: str, witness: str) -> bool:
         """Return whether a session, which ``witness`` stands for, runs no more or is closed."""
         if self.sessions.is_superseded(session):
             return True
-        return witness == self.session and self.book.is_closed(session)
+        return witness == self.session and self.ceilings.is_closed(session)
 
     def _close_silent(self, session: str, names: tuple[str, ...]) -> None:
         """Close a session that this router witnesses and that seems gone for good."""
-        self.book.close(session)
+        self.ceilings.close(session)
         log_change("witness.closed_silent", session=session, accounts=len(names))
         for name in names:
             account = self.account(name)
--- a/src/aspengate/gateway/prepaid/_lending.py
+++ b/src/aspengate/gateway/prepaid/_lending.py
@@ -26,7 +26,7 @@
         self._repaid: dict[str, int] = {}
         self._lock = threading.Lock()
 
-    def take_request(self, account: Account, request: LoanRequest, answer: Answer) -> None:
+    def handle_request(self, account: Account, request: LoanRequest, answer: Answer) -> None:
         """Lend at once where tokens are at hand, else as soon as it is decided.
 
         A router that is not the primary gets nothing more on behalf of one that only stocks up:
@@ -39,9 +39,9 @@
             account.used_ms = now
             self._serve(account, request, answer, now)
             if request.needed or self._supply.loans.is_primary(account.name):
-                self._supply.look_ahead(account, now)
+                self._supply.prefetch(account, now)
 
-    def take_repayment(self, account: Account, payment: Repayment) -> bool:
+    def handle_repayment(self, account: Account, payment: Repayment) -> bool:
         """Take tokens back; return False where they can't count any more."""
         with self._lock:
             known = len(self._repaid) < _MOST_BORROWERS or payment.session in self._repaid
@@ -52,11 +52,11 @@
             self._repaid[payment.session] = payment.number
         now = self._supply.clock.monotonic_ms()
         with account.changed:
-            if not account.purse.borrow(payment.amount):
+            if not account.balance.borrow(payment.amount):
                 return False
             account.grant_waiting(now)
             if account.waiting:
-                self._supply.ask_for_more(account, now)
+                self._supply.request_tokens(account, now)
         self._counters.count("allowances.repaid")
         return True
 
@@ -81,9 +81,9 @@
             return
         scarce = self._supply.is_scarce(account, now)
         extra = 0 if scarce else self._supply.extra_to_lend(account, request.extra)
-        purse = account.purse
-        if not account.waiting and purse.free >= request.needed:
-            given = purse.lend(min(purse.free, request.needed + extra), now)
+        balance = account.balance
+        if not account.waiting and balance.free >= request.needed:
+            given = balance.lend(min(balance.free, request.needed + extra), now)
             self._reply(request, answer, given=given, scarce=scarce)
             return
         if not request.needed:
@@ -92,8 +92,8 @@
         if now < account.exhausted_until_ms and request.needed >= account.exhausted_amount:
             self._reply(request, answer, refused=ErrorKind.BUDGET_EXHAUSTED, scarce=True)
             return
-        can_draw = not request.held_only and not self._supply.writer.seems_down(now)
-        if not can_draw and purse.held < request.needed:
+        can_draw = not request.held_only and not self._supply.writer.store_seems_down(now)
+        if not can_draw and balance.held < request.needed:
             self._reply(request, answer, refused=ErrorKind.BUDGET_UNAVAILABLE, scarce=True)
             return
 
@@ -108,7 +108,7 @@
     ) -> None:
         """Answer a request that waited; the account's lock is held."""
         if ticket.granted:
-            account.purse.lend_reserved(ticket.amount)
+            account.balance.lend_reserved(ticket.amount)
             self._reply(request, answer, given=ticket.amount)
         else:
             self._reply(request, answer, refused=ticket.refused, scarce=True)
--- a/src/aspengate/gateway/prepaid/_loans.py
+++ b/src/aspengate/gateway/prepaid/_loans.py
@@ -30,22 +30,22 @@
     def is_primary(self, account: str) -> bool:
         """Return whether this router draws the account's tokens from the store for all."""
 
-    def ask(self, account: str, needed: int, extra: int) -> bool:
+    def borrow_from_primary(self, account: str, needed: int, extra: int) -> bool:
         """Ask the primary for ``needed`` tokens or none, and up to ``extra`` more.
 
         Return whether an answer or a failure will be told.
         """
 
-    def ask_next(self, account: str, needed: int) -> bool:
+    def borrow_from_successor(self, account: str, needed: int) -> bool:
         """Ask the router that would draw if the primary, which gave none, were not there.
 
         Return whether there is another one, whose answer or failure will be told.
         """
 
-    def ask_others(self, account: str, needed: int) -> bool:
+    def borrow_from_others(self, account: str, needed: int) -> bool:
         """Ask some other routers; return whether there are any."""
 
-    def ask_holders(self, account: str, needed: int, sessions: Iterable[str]) -> bool:
+    def borrow_from_holders(self, account: str, needed: int, sessions: Iterable[str]) -> bool:
         """Ask the live ones of ``sessions`` for what they hold; return whether there are any."""
 
     def repay(self, account: str, amount: int) -> bool:
@@ -59,19 +59,19 @@
         """Return that this router draws for itself."""
         return True
 
-    def ask(self, account: str, needed: int, extra: int) -> bool:
+    def borrow_from_primary(self, account: str, needed: int, extra: int) -> bool:
         """Return that there is nobody to ask."""
         return False
 
-    def ask_next(self, account: str, needed: int) -> bool:
+    def borrow_from_successor(self, account: str, needed: int) -> bool:
         """Return that there is nobody to ask."""
         return False
 
-    def ask_others(self, account: str, needed: int) -> bool:
+    def borrow_from_others(self, account: str, needed: int) -> bool:
         """Return that there is nobody to ask."""
         return False
 
-    def ask_holders(self, account: str, needed: int, sessions: Iterable[str]) -> bool:
+    def borrow_from_holders(self, account: str, needed: int, sessions: Iterable[str]) -> bool:
         """Return that there is nobody to ask."""
         return False
 
@@ -108,12 +108,14 @@
 class PeerLoans:
     """Borrows by datagrams, which are repeated until they are answered or given up.
 
-    ``send`` sends a message to an address; ``take_reply`` and ``take_repayment_reply`` are to be
-    called with the answers. ``on_loan`` is called with each answer to a request, also a late
-    one, ``on_failed`` with the account whose primary did not answer, and ``on_others_done`` with
-    one of which all the others that were asked have answered or been given up. ``reaches_store``
-    tells whether this router could draw tokens itself. Of repayments to one router one is open at
-    a time, so that it can tell a repeated one by its number.
+    ``send`` sends a message to an address. Pass each reply received to ``handle_reply`` or
+    ``handle_repayment_reply``. Callbacks: ``on_loan_reply`` receives each reply to a request, even
+    a late one; ``on_failed`` the account whose primary did not answer; ``on_lenders_done`` the
+    account for which all other routers that were asked have answered or timed out.
+    ``reaches_store`` returns whether this router could draw tokens itself.
+
+    At most one repayment to each router is open at a time, so that the receiver can detect a
+    repeated one by its number.
     """
 
     def __init__(
@@ -125,9 +127,9 @@
         send: Callable[[LoanRequest | Repayment, str], None],
     ) -> None:
         self.own = own
-        self.on_loan: Callable[[LoanReply], None] = lambda _: None
+        self.on_loan_reply: Callable[[LoanReply], None] = lambda _: None
         self.on_failed: Callable[[str], None] = lambda _: None
-        self.on_others_done: Callable[[str], None] = lambda _: None
+        self.on_lenders_done: Callable[[str], None] = lambda _: None
         self.reaches_store: Callable[[], bool] = lambda: True
         self._peers = peers
         self._clock = clock
@@ -160,11 +162,11 @@
         """Return whether this router draws the account's tokens from the store for all."""
         return self._primary(account).name == self.own.name
 
-    def ask(self, account: str, needed: int, extra: int) -> bool:
+    def borrow_from_primary(self, account: str, needed: int, extra: int) -> bool:
         """Ask the primary, unless it was asked already."""
-        return self._ask_primary(account, self._primary(account), needed, extra)
+        return self._send_request(account, self._primary(account), needed, extra)
 
-    def ask_next(self, account: str, needed: int) -> bool:
+    def borrow_from_successor(self, account: str, needed: int) -> bool:
         """Ask the router that would draw if the primary, which gave none, were not there."""
         primary = self._primary(account)
         asked = self._last_asked.get(account, "")
@@ -172,9 +174,9 @@
             primary = self._primary(account, without=asked)
         if primary.session == asked:
             return False
-        return self._ask_primary(account, primary, needed, 0)
+        return self._send_request(account, primary, needed, 0)
 
-    def _ask_primary(self, account: str, primary: Member, needed: int, extra: int) -> bool:
+    def _send_request(self, account: str, primary: Member, needed: int, extra: int) -> bool:
         if primary.name == self.own.name:
             return False
         with self._changed:
@@ -187,7 +189,7 @@
         self._send(request, primary.address)
         return True
 
-    def ask_others(self, account: str, needed: int) -> bool:
+    def borrow_from_others(self, account: str, needed: int) -> bool:
         """Ask some other routers at once; what comes beyond the need is paid back later."""
         found = {lender.session: lender for lender in self._peers.lenders(_OTHERS)}
         usual = self._peers.primary(account, frozenset(), own_reaches=None)
@@ -195,7 +197,7 @@
             found[usual.session] = usual
         return self._ask_all(account, needed, found.values(), held_only=False)
 
-    def ask_holders(self, account: str, needed: int, sessions: Iterable[str]) -> bool:
+    def borrow_from_holders(self, account: str, needed: int, sessions: Iterable[str]) -> bool:
         """Ask the live ones of ``sessions`` for what they hold; return whether there are any."""
         listed = set(sessions)
         found = [member for member in self._peers.alive() if member.session in listed]
@@ -230,7 +232,7 @@
         self._send(payment, primary.address)
         return True
 
-    def take_reply(self, reply: LoanReply) -> None:
+    def handle_reply(self, reply: LoanReply) -> None:
         """Take the answer to a request."""
         with self._changed:
             if reply.session != self.own.session:
@@ -245,19 +247,19 @@
                 return
             if self._asked.get(reply.account) == reply.number:
                 del self._asked[reply.account]
-            others_left = self._asks_others(reply.account)
+            others_left = self._awaits_lenders(reply.account)
         if found.is_primary or reply.given:
-            self.on_loan(reply)
+            self.on_loan_reply(reply)
         if not found.is_primary and not others_left:
-            self.on_others_done(reply.account)
+            self.on_lenders_done(reply.account)
 
-    def take_repayment_reply(self, reply: RepaymentReply) -> None:
+    def handle_repayment_reply(self, reply: RepaymentReply) -> None:
         """Take the answer to a repayment."""
         with self._changed:
             if reply.session == self.own.session:
                 self._end_repayment(reply.number)
 
-    def _asks_others(self, account: str) -> bool:
+    def _awaits_lenders(self, account: str) -> bool:
         """Return whether routers other than the primary are asked; call it with the lock held."""
         return any(
             not each.is_primary and each.message.account == account for each in self._open.values()
@@ -357,6 +359,6 @@
             self.on_failed(account)
             return
         with self._changed:
-            others_left = self._asks_others(account)
+            others_left = self._awaits_lenders(account)
         if not others_left:
-            self.on_others_done(account)
+            self.on_lenders_done(account)
--- a/src/aspengate/gateway/prepaid/_heard_grants.py
+++ b/src/aspengate/gateway/prepaid/_peer_grants.py
@@ -11,7 +11,7 @@
 _MOST_GRANTS = 10_000
 
 
-class HeardGrants:
+class PeerGrants:
     """The newest grant of each session of other routers, by account, and when it was heard."""
 
     def __init__(self, clock: Clock) -> None:
@@ -19,7 +19,7 @@
         self._heard: OrderedDict[tuple[str, str], tuple[Grant, float]] = OrderedDict()
         self._lock = threading.Lock()
 
-    def note(self, grants: Iterable[Grant]) -> None:
+    def record(self, grants: Iterable[Grant]) -> None:
         """Remember grants; one that is older than another of its session is passed over."""
         now = self._clock.monotonic_ms()
         with self._lock:
--- a/src/aspengate/gateway/prepaid/_restorer.py
+++ b/src/aspengate/gateway/prepaid/_restorer.py
@@ -4,14 +4,14 @@
 
 from aspengate.allowances import (
     AllowanceDocument,
-    WitnessBook,
+    CeilingRegistry,
     adopt_document,
     restore_document,
     restore_sessions,
 )
 from aspengate.clock import Clock
 from aspengate.gateway.prepaid._account import Account
-from aspengate.gateway.prepaid._heard_grants import HeardGrants
+from aspengate.gateway.prepaid._peer_grants import PeerGrants
 from aspengate.gateway.prepaid._witness import SessionList
 from aspengate.store import KeyValueStore, StoreItem, era_of, make_revision
 from aspengate.telemetry import Counters, log_change
@@ -21,12 +21,14 @@
 
 
 class DocumentRestorer:
-    """Says what a document is to hold, and whether anything may be granted yet.
+    """Determines what a restored document has to contain, and whether tokens may be granted yet.
 
-    ``book`` holds the ceilings of the sessions that this router, ``session``, witnesses, and
-    ``sessions`` tells which of them run. ``others_restored`` tells whether a history of the store
-    holds all that the other routers know. While ``recalls_silent`` it counts routers as dead that
-    were heard lately and do not say so.
+    ``session`` is this router's own. ``ceilings`` holds the ceilings of the sessions that it
+    witnesses, and ``sessions`` reports which sessions are alive. ``others_restored`` returns
+    whether a history of the store contains everything that the other routers remember.
+
+    While ``recovers_unresponsive`` is set, routers that sent messages recently, but have not
+    reported that their own state is restored, are treated like dead ones.
     """
 
     def __init__(
@@ -35,19 +37,19 @@
         store: KeyValueStore,
         clock: Clock,
         counters: Counters,
-        book: WitnessBook,
+        ceilings: CeilingRegistry,
         sessions: SessionList,
     ) -> None:
         self.session = session
-        self.heard_grants = HeardGrants(clock)
+        self.peer_grants = PeerGrants(clock)
         self.others_restored: Callable[[int], bool] = lambda _: False
-        self.recalls_silent = False
+        self.recovers_unresponsive = False
         self._store = store
         self._clock = clock
         self._counters = counters
-        self._book = book
+        self._ceilings = ceilings
         self._sessions = sessions
-        self._settled_ms = float("-inf")
+        self._grace_ends_ms = float("-inf")
         self._has_returned = False
 
     @property
@@ -55,31 +57,31 @@
         """The history that the store names."""
         return self._store.era.current
 
-    def settle(self, settle_ms: float, *, has_returned: bool) -> None:
-        """Give the routers up to ``settle_ms`` to write again what the store lost.
+    def begin_grace_period(self, grace_ms: float, *, has_returned: bool) -> None:
+        """Give the routers up to ``grace_ms`` to write again what the store lost.
 
         Unless it ``has_returned`` from a copy, that holds for copied documents alone.
         """
-        self.recalls_silent = False
+        self.recovers_unresponsive = False
         self._has_returned = has_returned
-        self._settled_ms = self._clock.monotonic_ms() + settle_ms
+        self._grace_ends_ms = self._clock.monotonic_ms() + grace_ms
 
     def may_grant(self, account: Account) -> bool:
         """Return whether what the document lacks has been written again, as far as is known."""
-        if self._clock.monotonic_ms() >= self._settled_ms:
+        if self._clock.monotonic_ms() >= self._grace_ends_ms:
             return True
         if not self._has_returned:
             return not account.is_copy
-        return not account.restores and self.others_restored(self.era)
+        return not account.needs_restore and self.others_restored(self.era)
 
-    def recalled_accounts(self) -> set[str]:
+    def accounts_to_recover(self) -> set[str]:
         """Return the accounts that sessions which may be dead drew from, as is remembered here."""
         since_ms = self._since_ms()
-        witnessed = self._book.open_since(since_ms).items()
+        witnessed = self._ceilings.open_since(since_ms).items()
         drawn = {
             name for session, names in witnessed if self._may_be_dead(session) for name in names
         }
-        granted = self.heard_grants.since(since_ms)
+        granted = self.peer_grants.since(since_ms)
         return drawn | {each.account for each in granted if self._may_be_dead(each.session)}
 
     def compare(
@@ -94,7 +96,7 @@
         restored = adopted
         if era_of(account.known_revision) < self.era:
             restored = self._with_known(account, stored, revision, adopted)
-        if account.recalls_others:
+        if account.recovers_others:
             restored = self._with_recalled(account.name, restored)
         if restored == adopted:
             return adopted, True
@@ -117,7 +119,7 @@
             known, known_revision = account.known, account.known_revision
             restored = restore_document(stored, revision, known, known_revision, self.era)
         if account.listed:
-            restored = restore_sessions(restored, {self.session: account.purse.granted})
+            restored = restore_sessions(restored, {self.session: account.balance.granted})
         return restored
 
     def _with_recalled(self, name: str, document: AllowanceDocument) -> AllowanceDocument:
@@ -125,11 +127,11 @@
         since_ms = self._since_ms()
         used = {
             session: ceilings[name]
-            for session, ceilings in self._book.open_since(since_ms).items()
+            for session, ceilings in self._ceilings.open_since(since_ms).items()
             if name in ceilings and self._may_be_dead(session)
         }
         document = restore_sessions(document, used, self.session)
-        for grant in self.heard_grants.since(since_ms):
+        for grant in self.peer_grants.since(since_ms):
             if grant.account != name:
                 continue
             is_lost = document.restored_from < grant.revision < make_revision(self.era, 0)
@@ -142,7 +144,7 @@
         """Return whether a session may not write for itself what the store has lost of it."""
         if not self._sessions.is_alive(session):
             return True
-        return self.recalls_silent and not self._sessions.has_restored(session, self.era)
+        return self.recovers_unresponsive and not self._sessions.has_restored(session, self.era)
 
     def _since_ms(self) -> float:
         return self._clock.monotonic_ms() - _COPY_AGE_MS
--- a/src/aspengate/gateway/prepaid/_statements.py
+++ b/src/aspengate/gateway/prepaid/_statements.py
@@ -1,27 +1,27 @@
 """Lines of the log that state where an account's tokens are, as far as one router knows."""
 
-from aspengate.allowances import AllowanceDocument, Purse
+from aspengate.allowances import AllowanceDocument, TokenBalance
 from aspengate.gateway.prepaid._account import Account
 from aspengate.store import number_of
 from aspengate.telemetry import log_change
 
 
-def note_granted(account: Account, document: AllowanceDocument, session: str) -> None:
+def log_granted(account: Account, document: AllowanceDocument, session: str) -> None:
     """Tell what the store has granted a session."""
     log_change(
         "allowance.granted",
         account=account.name,
         granted=document.allowance(session),
-        committed=account.purse.committed,
+        committed=account.balance.committed,
         limit=document.limit,
         unheld=document.limit - document.committed,
         witness=document.witness(session),
         revision=number_of(account.revision),
-        **_statement(session, account.purse, document),
+        **_statement(session, account.balance, document),
     )
 
 
-def note_exhausted(account: Account, limit: int, session: str) -> None:
+def log_exhausted(account: Account, limit: int, session: str) -> None:
     """Tell that none of the waiting requests fits into the account's limit."""
     document = account.document or AllowanceDocument()
     log_change(
@@ -31,11 +31,11 @@
         unheld=limit - document.committed,
         needed=min((ticket.amount for ticket in account.waiting), default=0),
         revision=number_of(account.revision),
-        **_statement(session, account.purse, document),
+        **_statement(session, account.balance, document),
     )
 
 
-def note_undercounted(account: Account, document: AllowanceDocument) -> None:
+def log_undercounted(account: Account, document: AllowanceDocument) -> None:
     """Tell of a document that counts less than was spent: more may be handed out than paid."""
     log_change(
         "allowance.undercounted",
@@ -46,13 +46,15 @@
     )
 
 
-def _statement(session: str, purse: Purse, document: AllowanceDocument) -> dict[str, object]:
+def _statement(
+    session: str, balance: TokenBalance, document: AllowanceDocument
+) -> dict[str, object]:
     """Return where an account's tokens are."""
     return {
         "session": session,
-        "spent": purse.spent,
-        "reserved": purse.reserved,
-        "idle": purse.held,
+        "spent": balance.spent,
+        "reserved": balance.reserved,
+        "idle": balance.held,
         "closed": document.closed,
         "sessions": document.sessions,
     }
--- a/src/aspengate/gateway/prepaid/_supply.py
+++ b/src/aspengate/gateway/prepaid/_supply.py
@@ -53,7 +53,7 @@
         self._due: dict[str, Account] = {}
         self._due_lock = threading.Lock()
 
-    def ask_for_more(self, account: Account, now: float) -> float:
+    def request_tokens(self, account: Account, now: float) -> float:
         """Ask for what the first waiting request lacks; return how long to wait for it, in ms.
 
         Those that are covered by now are granted first: nothing is asked for on their behalf.
@@ -64,9 +64,9 @@
         own = account.first_own
         may_ask = now >= account.unavailable_until_ms
         if own is not None and may_ask and not self._holds(account, own.amount):
-            needed = own.amount - max(0, account.purse.free)
+            needed = own.amount - max(0, account.balance.free)
             extra = account.waited_for - own.amount + self._ahead(account, now)
-            if self.loans.ask(account.name, needed, extra):
+            if self.loans.borrow_from_primary(account.name, needed, extra):
                 return _LOAN_PATIENCE_MS
         return self.draw(account, now)
 
@@ -77,70 +77,72 @@
         """
         if self._holds(account, account.waiting[0].amount):
             self.raise_ceiling(account, account.waited_for)
-            if self.witness.accepted(account.name, account.named_witness):
+            if self.witness.accepted_ceiling(account.name, account.named_witness):
                 return _PATIENCE_MS
         if now < account.asking_holders_until_ms:
             return account.asking_holders_until_ms - now
         self.schedule(account)
-        return 0.0 if self.writer.seems_down(now) else _PATIENCE_MS
+        return 0.0 if self.writer.store_seems_down(now) else _PATIENCE_MS
 
-    def look_ahead(self, account: Account, now: float) -> None:
+    def prefetch(self, account: Account, now: float) -> None:
         """Get more before it is needed."""
-        purse = account.purse
+        balance = account.balance
         ahead = self._ahead(account, now)
-        if purse.free < purse.held and purse.free < ahead / 2:
+        if balance.free < balance.held and balance.free < ahead / 2:
             self.raise_ceiling(account, 0)
         if self.loans.is_primary(account.name):
             if self._needs_store(account, now):
                 self.schedule_later(account)
-        elif purse.held < ahead / 2 and now >= account.unavailable_until_ms:
-            self.loans.ask(account.name, 0, ahead - max(0, purse.held))
+        elif balance.held < ahead / 2 and now >= account.unavailable_until_ms:
+            self.loans.borrow_from_primary(account.name, 0, ahead - max(0, balance.held))
 
     def raise_ceiling(self, account: Account, wanted: int) -> None:
         """Have the witness accept a ceiling that reaches ``wanted`` beyond what is committed."""
         now = self.clock.monotonic_ms()
-        demand = account.purse.demand(0, now)
-        ceiling = account.purse.committed + wanted + self.sizing.ahead(demand)
-        self.witness.want(account.name, min(ceiling, account.purse.granted))
+        demand = account.balance.demand(0, now)
+        ceiling = account.balance.committed + wanted + self.sizing.ceiling_headroom(demand)
+        self.witness.request_ceiling(account.name, min(ceiling, account.balance.granted))
 
     def is_scarce(self, account: Account, now: float) -> bool:
         """Return whether there is so little left that nobody should keep what it does not need."""
         source = self.limit_of(account.name)
         if source is None or account.document is None:
             return False
-        left = max(0, account.purse.held)
-        if not self.writer.seems_down(now):
+        left = max(0, account.balance.held)
+        if not self.writer.store_seems_down(now):
             left += max(0, source.limit - account.document.committed)
         return left < source.limit * _SCARCE_PART
 
     def extra_to_lend(self, account: Account, extra: int) -> int:
         """Return how many tokens a borrower gets beyond its need, where nothing is scarce."""
-        return max(0, min(extra, int(account.purse.held * _EXTRA_PART)))
+        return max(0, min(extra, int(account.balance.held * _EXTRA_PART)))
 
-    def give_back(self, account: Account, now: float) -> None:
+    def return_surplus(self, account: Account, now: float) -> None:
         """Give back what is no longer needed."""
         surplus = self._surplus(account, now)
         if surplus <= 0 and not account.is_lowered:
             return
-        if (account.purse.granted > 0 or account.is_lowered) and not self.writer.seems_down(now):
+        if (account.balance.granted > 0 or account.is_lowered) and not self.writer.store_seems_down(
+            now
+        ):
             if account.document is not None:
                 self.schedule_later(account)
             return
-        amount = min(surplus, account.purse.free)
+        amount = min(surplus, account.balance.free)
         if amount > 0 and self.loans.repay(account.name, amount):
-            account.purse.lend(amount)
+            account.balance.lend(amount)
 
-    def hand_over(self, account: Account, now: float) -> None:
+    def return_unused(self, account: Account, now: float) -> None:
         """Keep nothing that requests do not need, since the limit was cut."""
         account.scarce_until_ms = now + _CUT_MS
         if account.listed:
             self.schedule_later(account)
-        if not self.loans.is_primary(account.name) and account.purse.free > 0:
-            amount = account.purse.free
+        if not self.loans.is_primary(account.name) and account.balance.free > 0:
+            amount = account.balance.free
             if self.loans.repay(account.name, amount):
-                account.purse.lend(amount)
+                account.balance.lend(amount)
 
-    def ask_holders(self, account: Account, now: float) -> bool:
+    def borrow_from_holders(self, account: Account, now: float) -> bool:
         """Ask the other sessions that hold an account's tokens for some, where its limit is spent.
 
         Return whether there are any, which will answer or be given up.
@@ -155,8 +157,8 @@
         account.holders_empty_until_ms = now + _HOLDERS_MS
         account.asking_holders_until_ms = now + _HOLDERS_PATIENCE_MS
         held = [session for session, allowance in document.sessions.items() if allowance > 0]
-        needed = max(0, account.waiting[0].amount - max(0, account.purse.free))
-        if self.loans.ask_holders(account.name, needed, held):
+        needed = max(0, account.waiting[0].amount - max(0, account.balance.free))
+        if self.loans.borrow_from_holders(account.name, needed, held):
             return True
         account.asking_holders_until_ms = 0.0
         return False
@@ -166,7 +168,7 @@
         if account.working:
             self.writer.writes.hurry()
             return
-        if account.purse.frozen:
+        if account.balance.frozen:
             return
         account.working = True
         self._executor.submit(self._work, account)
@@ -186,7 +188,7 @@
         begun = []
         for account in due:
             with account.changed:
-                if not account.working and not account.purse.frozen:
+                if not account.working and not account.balance.frozen:
                     account.working = True
                     begun.append(account)
         self.writer.writes.expect(len(begun))
@@ -203,40 +205,40 @@
             with account.changed:
                 account.working = False
                 account.changed.notify_all()
-                if any(not ticket.passed_over for ticket in account.waiting):
-                    self.ask_for_more(account, self.clock.monotonic_ms())
+                if any(not ticket.source_failed for ticket in account.waiting):
+                    self.request_tokens(account, self.clock.monotonic_ms())
 
     def _holds(self, account: Account, amount: int) -> bool:
         """Return whether only the ceiling keeps an amount from being used."""
-        return account.purse.held >= amount and account.purse.ceiling is not None
+        return account.balance.held >= amount and account.balance.ceiling is not None
 
     def _ahead(self, account: Account, now: float) -> int:
         """Return what this router keeps at hand beyond what its requests need at once."""
         if now < account.scarce_until_ms:
             return 0
-        demand = account.purse.demand(0, now)
+        demand = account.balance.demand(0, now)
         if self.loans.is_primary(account.name):
-            return self.sizing.ahead(demand)
-        return self.sizing.at_hand(demand)
+            return self.sizing.ceiling_headroom(demand)
+        return self.sizing.borrower_reserve(demand)
 
     def _needs_store(self, account: Account, now: float) -> bool:
         """Return whether this router, which draws for all, should look at the document by now."""
         if account.document is None:
-            return account.listed and not self.writer.seems_down(now)
+            return account.listed and not self.writer.store_seems_down(now)
         return self._is_low(account, now)
 
     def _is_low(self, account: Account, now: float) -> bool:
-        return account.purse.held < self._reserve(account, now, 0) * self.sizing.refill_part
+        return account.balance.held < self._reserve(account, now, 0) * self.sizing.refill_fraction
 
     def _reserve(self, account: Account, now: float, own: int) -> int:
         source = self.limit_of(account.name)
         if source is None:
             return 0
-        demand: Demand = account.purse.demand(0, now)
-        return self.sizing.reserve(demand, self.writer.holding(account, source.limit, own))
+        demand: Demand = account.balance.demand(0, now)
+        return self.sizing.reserve(demand, self.writer.allocation_state(account, source.limit, own))
 
     def _surplus(self, account: Account, now: float) -> int:
-        held = account.purse.held
+        held = account.balance.held
         if held <= 0:
             return 0
         if now - account.used_ms > _IDLE_MS:
--- a/src/aspengate/gateway/prepaid/_witness.py
+++ b/src/aspengate/gateway/prepaid/_witness.py
@@ -24,16 +24,16 @@
 class Witness(Protocol):
     """Who is told this session's ceilings before they are used."""
 
-    def want(self, account: str, ceiling: int) -> None:
+    def request_ceiling(self, account: str, ceiling: int) -> None:
         """Have a higher ceiling accepted as soon as may be."""
 
-    def ensure(self, account: str, ceiling: int) -> tuple[str, int]:
+    def ensure_ceiling(self, account: str, ceiling: int) -> tuple[str, int]:
         """Wait shortly for a ceiling; return the witness's session with what it has accepted.
 
         The session is empty where there is no witness.
         """
 
-    def accepted(self, account: str, witness: str) -> int:
+    def accepted_ceiling(self, account: str, witness: str) -> int:
         """Return what ``witness`` has accepted, 0 where it is not the present witness."""
 
     def close_session(self, session: str, witness: str) -> Mapping[str, int] | None:
@@ -56,14 +56,14 @@
 class NoWitness:
     """Stands in where a router has no peers."""
 
-    def want(self, account: str, ceiling: int) -> None:
+    def request_ceiling(self, account: str, ceiling: int) -> None:
         """Do nothing."""
 
-    def ensure(self, account: str, ceiling: int) -> tuple[str, int]:
+    def ensure_ceiling(self, account: str, ceiling: int) -> tuple[str, int]:
         """Return that there is no witness."""
         return "", 0
 
-    def accepted(self, account: str, witness: str) -> int:
+    def accepted_ceiling(self, account: str, witness: str) -> int:
         """Return that nothing was accepted."""
         return 0
 
@@ -94,7 +94,7 @@
 class RemoteWitness:
     """Keeps one other router as witness, chosen among ``alive`` by hash so that load spreads.
 
-    ``send`` sends a notice to an address; ``take_reply`` is to be called with each answer.
+    ``send`` sends a notice to an address; ``handle_reply`` is to be called with each answer.
     ``on_accepted`` is called with a witness's session and the ceilings that it accepted, and
     ``on_lost`` once a witness does not answer any more. ``ask_to_close`` asks a router by its
     session to close another session.
@@ -137,7 +137,7 @@
             self._closing = True
             self._changed.notify_all()
 
-    def want(self, account: str, ceiling: int) -> None:
+    def request_ceiling(self, account: str, ceiling: int) -> None:
         """Have a higher ceiling accepted as soon as may be."""
         with self._changed:
             bond = self._bonded()
@@ -146,9 +146,9 @@
             bond.wanted[account] = ceiling
             self._changed.notify_all()
 
-    def ensure(self, account: str, ceiling: int) -> tuple[str, int]:
+    def ensure_ceiling(self, account: str, ceiling: int) -> tuple[str, int]:
         """Wait shortly for a ceiling; return the witness's session with what it has accepted."""
-        self.want(account, ceiling)
+        self.request_ceiling(account, ceiling)
         last = self._clock.monotonic_ms() + _LOST_MS
         with self._changed:
             while True:
@@ -160,7 +160,7 @@
                     return bond.member.session, bond.accepted[account]
                 self._changed.wait(remaining / 1_000)
 
-    def accepted(self, account: str, witness: str) -> int:
+    def accepted_ceiling(self, account: str, witness: str) -> int:
         """Return what ``witness`` has accepted, 0 where it is not the present witness."""
         with self._changed:
             bond = self._bond
@@ -178,7 +178,7 @@
                 log_change("witness.closed_session", session=session, witness=witness)
         return found
 
-    def take_reply(self, reply: CeilingReply) -> None:
+    def handle_reply(self, reply: CeilingReply) -> None:
         """Take a witness's answer."""
         with self._changed:
             bond = self._bond
--- a/src/aspengate/gateway/prepaid/_writer.py
+++ b/src/aspengate/gateway/prepaid/_writer.py
@@ -4,9 +4,9 @@
 from dataclasses import replace
 
 from aspengate.allowances import (
+    AllocationState,
     AllowanceDocument,
     AllowanceSizing,
-    Holding,
     close_session,
     decode_document,
     encode_document,
@@ -18,9 +18,9 @@
 from aspengate.gateway.prepaid._account import Account, LimitSource, Ticket
 from aspengate.gateway.prepaid._restorer import DocumentRestorer
 from aspengate.gateway.prepaid._statements import (
-    note_exhausted,
-    note_granted,
-    note_undercounted,
+    log_exhausted,
+    log_granted,
+    log_undercounted,
 )
 from aspengate.gateway.prepaid._witness import Witness
 from aspengate.peers import Grant
@@ -44,18 +44,20 @@
 
 
 class DocumentWriter:
-    """Changes accounts' documents; one call for an account at a time.
-
-    ``is_primary`` tells of an account whether this router draws for all, ``reaches_store``
-    whether other calls to the store succeed, and ``is_dead`` of a session and its witness
-    whether that session may be settled. ``ask_holders`` asks the sessions that hold tokens of a
-    spent account, with its lock held, and returns whether their answer is to be waited for.
-    ``outlook`` tells what outage of the store the reserve is to last for, and ``tell_grant`` has
-    some others remember a grant of the store.
-
-    After the store came back from an older copy, documents are written again as ``restorer`` says,
-    and nothing is granted anew before it agrees. ``on_restored`` is called after each account that
-    was checked.
+    """Reads and changes accounts' documents, with at most one call at a time for each account.
+
+    ``is_primary`` returns whether this router draws an account's tokens for all routers,
+    ``reaches_store`` whether other calls to the store succeed, and ``is_dead`` whether a session,
+    given with its witness, may be settled on its behalf.
+
+    Callbacks: ``borrow_from_holders`` asks the sessions that hold tokens of an exhausted account
+    for them, with the account's lock held, and returns whether to wait for their replies.
+    ``outage_outlook`` returns the outage of the store that the reserve has to cover.
+    ``announce_grant`` sends a grant to some other routers, which remember it. ``on_restored`` is
+    called after each account that was checked.
+
+    After the store was restored from an older copy, documents are written again as ``restorer``
+    determines, and no tokens are granted until it allows that.
     """
 
     def __init__(
@@ -76,10 +78,10 @@
         self.session = session
         self.restorer = restorer
         self.routers = 1
-        self.outlook: Callable[[], OutageOutlook] = OutageOutlook
-        self.tell_grant: Callable[[Grant], None] = lambda _: None
+        self.outage_outlook: Callable[[], OutageOutlook] = OutageOutlook
+        self.announce_grant: Callable[[Grant], None] = lambda _: None
         self.on_restored: Callable[[], None] = lambda: None
-        self.ask_holders: Callable[[Account, float], bool] = lambda *_: False
+        self.borrow_from_holders: Callable[[Account, float], bool] = lambda *_: False
         self.writes = GroupedWrites(store)
         self._store = store
         self._clock = clock
@@ -92,7 +94,7 @@
         self._is_dead = is_dead
         self._failed_ms = float("-inf")
 
-    def seems_down(self, now: float) -> bool:
+    def store_seems_down(self, now: float) -> bool:
         """Return whether the store did not answer, and has not since.
 
         Where nothing else reaches the store either, it is not asked before it answers that.
@@ -104,22 +106,22 @@
         patience_ms = _SEEMS_DOWN_MS if self._reaches_store() else _IS_DOWN_MS
         return now - self._failed_ms < patience_ms
 
-    def holding(self, account: Account, limit: int, own: int) -> Holding:
+    def allocation_state(self, account: Account, limit: int, own: int) -> AllocationState:
         """Return how an account stands, where ``own`` unused tokens could be given back."""
         document = account.document or AllowanceDocument()
-        outage = self.outlook()
-        return Holding(
+        outage = self.outage_outlook()
+        return AllocationState(
             limit=limit,
-            unheld=limit - document.committed + own,
+            unallocated=limit - document.committed + own,
             routers=self.routers,
-            part=self._part(account.name, document),
+            share=self._share(account.name, document),
             lost_sessions=document.lost_sessions,
             outage_ms=outage.length_ms,
             readiness=outage.readiness,
         )
 
-    def _part(self, name: str, document: AllowanceDocument) -> float:
-        return 1.0 if self._is_primary(name) else document.part_of(self.session)
+    def _share(self, name: str, document: AllowanceDocument) -> float:
+        return 1.0 if self._is_primary(name) else document.share_of(self.session)
 
     def work(self, account: Account) -> None:
         """Write the account's document until nothing is left to do."""
@@ -129,25 +131,25 @@
         except Exception as error:
             self._counters.count("allowances.failed")
             log_change("allowance.failed", account=account.name, error=repr(error))
-            self._pass_over(account)
+            self._try_next_source(account)
 
     def raise_ceiling(self, account: Account, witness: str, ceiling: int) -> bool:
         """Use a ceiling that a witness accepted; return whether the document names it.
 
         Call it with the account's lock held.
         """
-        if not account.listed or account.purse.ceiling is None:
+        if not account.listed or account.balance.ceiling is None:
             return False
         if not witness or account.named_witness != witness:
             return False
-        account.purse.ceiling = max(ceiling, account.purse.ceiling)
+        account.balance.ceiling = max(ceiling, account.balance.ceiling)
         return True
 
     def settle_for_good(self, account: Account) -> None:
         """Count what the session used of an account, and that it will use no more."""
         with account.changed:
-            account.purse.frozen = True
-            account.pass_over(borrowers=True)
+            account.balance.frozen = True
+            account.try_next_source(borrowers=True)
             account.changed.wait_for(lambda: not account.working, _CLOSE_WAIT_S)
             account.working = True
         try:
@@ -159,8 +161,8 @@
         """Make one call to the store, if one is needed; return whether to go on."""
         source = self._limit_of(account.name)
         is_used = source is not None or account.is_unchecked
-        if account.purse.frozen or not is_used:
-            self._pass_over(account)
+        if account.balance.frozen or not is_used:
+            self._try_next_source(account)
             return False
         try:
             self._refresh(account)
@@ -173,10 +175,10 @@
             if plan is None:
                 if self._asks_holders(account):
                     return False
-                note_exhausted(account, source.limit, self.session)
+                log_exhausted(account, source.limit, self.session)
                 self._refuse(account)
                 return False
-            if plan == account.document and not account.uncertain and not account.restores:
+            if plan == account.document and not account.uncertain and not account.needs_restore:
                 self._grant(account, plan)
             elif not self._write(account, plan):
                 return True
@@ -188,26 +190,26 @@
             if error.kind is ErrorKind.OUTCOME_UNKNOWN:
                 account.uncertain = True
                 return True
-            self._pass_over(account)
+            self._try_next_source(account)
             return False
 
     def _write_again(self, account: Account) -> bool:
         """Write what the store lost, without granting anything; return whether to try again."""
         document = account.document or AllowanceDocument()
-        if not account.restores:
+        if not account.needs_restore:
             self._grant(account, document)
         elif not self._write(account, document):
             return True
         self.on_restored()
         if self.restorer.may_grant(account):
             return bool(account.waiting)
-        self._pass_over(account)
+        self._try_next_source(account)
         return False
 
     def _asks_holders(self, account: Account) -> bool:
         """Return whether requests wait for what other sessions hold of a spent account."""
         with account.changed:
-            return self.ask_holders(account, self._clock.monotonic_ms())
+            return self.borrow_from_holders(account, self._clock.monotonic_ms())
 
     def _refresh(self, account: Account) -> None:
         """Read the document where it is not known, or is of before the store came back."""
@@ -223,20 +225,20 @@
         document = decode_document(item.value) if item else AllowanceDocument()
         if document.is_undercounted:
             self._counters.count("allowances.undercounted")
-            note_undercounted(account, document)
+            log_undercounted(account, document)
         era = self.restorer.era
         with account.changed:
             restored, is_stored = self.restorer.compare(account, document, item)
-            account.take(restored, item)
+            account.set_document(restored, item)
             account.is_copy = item is not None and document.era < era
-            account.restores = not is_stored
+            account.needs_restore = not is_stored
             account.named_witness = restored.witness(self.session) if is_stored else ""
             if is_stored:
-                account.note_known(era)
+                account.record_stored(era)
             document = restored
             if account.listed and self.session not in document.sessions:
                 account.listed = False
-                account.purse.count_as_closed()
+                account.balance.count_as_closed()
                 log_change("allowance.closed_elsewhere", account=account.name)
 
     def _without_dead(self, name: str, document: AllowanceDocument) -> AllowanceDocument:
@@ -266,14 +268,14 @@
         """
         now = self._clock.monotonic_ms()
         with account.changed:
-            purse = account.purse
+            balance = account.balance
             fitting = self._fitting(account, document, source.limit)
             if account.waiting and not fitting:
                 return None
             idle = not account.waiting and now - account.used_ms > _IDLE_MS
-            demand = purse.demand(sum(ticket.amount for ticket in fitting), now)
+            demand = balance.demand(sum(ticket.amount for ticket in fitting), now)
             is_primary = self._is_primary(account.name)
-            target = purse.target(
+            target = balance.target(
                 document,
                 self.session,
                 source.limit,
@@ -281,10 +283,12 @@
                 demand,
                 idle=idle,
                 is_primary=is_primary,
-                outage=self.outlook(),
+                outage=self.outage_outlook(),
+            )
+            balance.granted = min(balance.granted, target)
+            ceiling = min(
+                target, demand.committed + demand.waiting + self._sizing.ceiling_headroom(demand)
             )
-            purse.granted = min(purse.granted, target)
-            ceiling = min(target, demand.committed + demand.waiting + self._sizing.ahead(demand))
         witness = self._bind(account, max(0, ceiling))
         if self.session not in document.sessions:
             is_same = target == 0
@@ -301,24 +305,26 @@
         From here on no more is used than both the witness that the document names and the
         present one have accepted, until the store confirms which of them holds.
         """
-        witness, accepted = self._witness.ensure(account.name, ceiling)
+        witness, accepted = self._witness.ensure_ceiling(account.name, ceiling)
         with account.changed:
             if witness != account.named_witness:
                 account.named_witness = ""
             if not witness:
                 return ""
-            purse = account.purse
-            purse.ceiling = accepted if purse.ceiling is None else min(purse.ceiling, accepted)
-            committed = purse.committed
+            balance = account.balance
+            balance.ceiling = (
+                accepted if balance.ceiling is None else min(balance.ceiling, accepted)
+            )
+            committed = balance.committed
         if committed <= accepted:
             return witness
-        again, accepted = self._witness.ensure(account.name, max(0, committed))
+        again, accepted = self._witness.ensure_ceiling(account.name, max(0, committed))
         return again if again == witness else ""
 
     def _fitting(self, account: Account, document: AllowanceDocument, limit: int) -> list[Ticket]:
         """Return the waiting requests that fit, in the order in which they came."""
-        most = document.most_for(self.session, limit)
-        needed = account.purse.committed
+        most = document.max_allowance(self.session, limit)
+        needed = account.balance.committed
         fitting = []
         for ticket in account.waiting:
             if needed + ticket.amount <= most:
@@ -344,7 +350,7 @@
             account.uncertain = False
             account.document = plan
             account.revision = revision
-            account.note_known(era_of(revision))
+            account.record_stored(era_of(revision))
         self._tell_raised(account, plan, revision)
         self._grant(account, plan)
         return True
@@ -352,24 +358,24 @@
     def _tell_raised(self, account: Account, document: AllowanceDocument, revision: int) -> None:
         """Have some others remember a higher allowance, before any of it is used."""
         allowance = document.allowance(self.session)
-        if allowance > account.purse.granted:
+        if allowance > account.balance.granted:
             witness = document.witness(self.session)
-            self.tell_grant(Grant(account.name, self.session, allowance, revision, witness))
+            self.announce_grant(Grant(account.name, self.session, allowance, revision, witness))
 
     def _grant(self, account: Account, document: AllowanceDocument) -> None:
         """Use what the store confirmed."""
         target = document.allowance(self.session)
         witness = document.witness(self.session)
-        accepted = self._witness.accepted(account.name, witness) if witness else 0
+        accepted = self._witness.accepted_ceiling(account.name, witness) if witness else 0
         now = self._clock.monotonic_ms()
         with account.changed:
-            purse = account.purse
+            balance = account.balance
             account.listed = self.session in document.sessions
             account.named_witness = witness
-            if target != purse.granted:
-                purse.granted = target
-                note_granted(account, document, self.session)
-            purse.ceiling = max(accepted, purse.ceiling or 0) if witness else None
+            if target != balance.granted:
+                balance.granted = target
+                log_granted(account, document, self.session)
+            balance.ceiling = max(accepted, balance.ceiling or 0) if witness else None
             account.grant_waiting(now)
 
     def _refuse(self, account: Account) -> None:
@@ -380,13 +386,13 @@
                 account.exhausted_amount = min(ticket.amount for ticket in account.waiting)
             account.refuse_waiting(ErrorKind.BUDGET_EXHAUSTED)
 
-    def _pass_over(self, account: Account) -> None:
+    def _try_next_source(self, account: Account) -> None:
         """Have requests look elsewhere, but for those that wait for the witness alone."""
         with account.changed:
-            purse = account.purse
-            waits = self._witness.accepted(account.name, account.named_witness)
-            held = purse.held if waits and purse.ceiling is not None else 0
-            account.pass_over(borrowers=True, held=max(0, held))
+            balance = account.balance
+            waits = self._witness.accepted_ceiling(account.name, account.named_witness)
+            held = balance.held if waits and balance.ceiling is not None else 0
+            account.try_next_source(borrowers=True, held=max(0, held))
 
     def _close(self, account: Account) -> None:
         for _ in range(_CLOSE_ATTEMPTS):
@@ -409,10 +415,10 @@
         """Return the document to write at the end, and the revision that it follows."""
         with account.changed:
             document = account.document or AllowanceDocument()
-            purse = account.purse
-            if purse.reserved:
-                committed = purse.committed
+            balance = account.balance
+            if balance.reserved:
+                committed = balance.committed
                 plan = set_allowance(document, self.session, committed, committed)
             else:
-                plan = end_session(document, self.session, purse.settled, purse.spent)
+                plan = end_session(document, self.session, balance.settled, balance.spent)
             return plan, account.revision
