--- a/src/aspengate/allowances/__init__.py
+++ b/src/aspengate/allowances/__init__.py
@@ -1,6 +1,7 @@
-"""Prepaid tokens: what the store grants to each router's session, and what that session used.
+"""Accounting of prepaid tokens: the tokens granted to each router's session and those it used.
 
-The modules here decide and hold state; they call no store, and take the time as a parameter.
+The modules of this package hold state and make decisions. They do not call the store, and they
+receive the current time as a parameter.
 """
 
 from aspengate.allowances._balance import TokenBalance
--- a/src/aspengate/allowances/_balance.py
+++ b/src/aspengate/allowances/_balance.py
@@ -1,4 +1,4 @@
-"""One account's tokens as one router holds them."""
+"""The balance of one account's prepaid tokens on one router."""
 
 import math
 
@@ -7,22 +7,26 @@
 from aspengate.errors import AspengateError, ErrorKind
 from aspengate.store import OutageOutlook
 
-_HALF_LIFE_MS = 10_000.0
-_SIZE_WEIGHT = 0.2
-_LEAST_AGE_MS = 5_000.0
+_RATE_HALF_LIFE_MS = 10_000.0
+_REQUEST_SIZE_WEIGHT = 0.2
+_MIN_AGE_MS = 5_000.0
 NO_OUTAGE = OutageOutlook()
 
 
 class TokenBalance:
-    """Counts what a session may use of one account, what it reserved, and what it used.
-
-    ``granted`` is what the store is known to allow; it is lowered before a lower allowance is
-    written, and raised only after a higher one was confirmed. ``ceiling`` is what the session's
-    witness has accepted, None where there is no witness: both bound what is committed. ``lent``
-    went to other routers and ``borrowed`` came from them, both without the store: what one lends
-    it can never use itself, so that the sum over all routers stays what the store granted. Once
-    ``frozen``, what is reserved may still be settled, but nothing more is given or taken.
-    ``spent`` is what this session's own requests used in its whole life.
+    """Tracks the tokens of one account that a session was granted, has reserved and has used.
+
+    Not thread-safe: callers hold the account's lock.
+
+    ``granted`` is the allowance that the store is known to contain: it is lowered before a lower
+    allowance is written, and raised only after a higher one is confirmed. ``ceiling`` is the value
+    that the session's witness has accepted, or None without a witness. Both limit ``committed``.
+
+    ``lent`` tokens went to other routers and ``borrowed`` tokens came from them, both without the
+    store. A router can never use the tokens that it lent, so that the sum over all routers stays
+    equal to the tokens granted by the store. Once ``frozen``, existing reservations may be settled,
+    but nothing is lent, borrowed or reserved any more. ``spent`` is the number of tokens that this
+    session's own requests used in its lifetime.
     """
 
     def __init__(self, sizing: AllowanceSizing) -> None:
@@ -36,92 +40,92 @@
         self.borrowed = 0
         self.frozen = False
         self._rate = 0.0
-        self._rate_ms = 0.0
-        self._first_ms: float | None = None
-        self._request = 0.0
+        self._rate_updated_ms = 0.0
+        self._first_demand_ms: float | None = None
+        self._request_size = 0.0
 
     @property
     def free(self) -> int:
-        """What a new request could take at once."""
+        """The tokens that a new request can reserve immediately."""
         return 0 if self.frozen else self.bound - self.committed
 
     @property
     def held(self) -> int:
-        """What is granted beyond what is committed, whether the ceiling reaches there or not."""
+        """The granted tokens that are not committed, regardless of the ceiling."""
         return 0 if self.frozen else self.granted - self.committed
 
     @property
     def bound(self) -> int:
-        """The most that may be committed."""
+        """The maximum of ``committed``: the grant, or the ceiling if that is lower."""
         return self.granted if self.ceiling is None else min(self.granted, self.ceiling)
 
     @property
     def committed(self) -> int:
-        """What the store must allow for what is used, reserved and lent."""
+        """The allowance that the used, reserved and lent tokens require in the store."""
         return self.used + self.reserved + self.lent - self.borrowed
 
     @property
     def settled(self) -> int:
-        """What the store must count for good once nothing is reserved any more."""
+        """The tokens to count as closed in the store once no reservation is left."""
         return self.used + self.lent - self.borrowed
 
     def reserve(self, amount: int, now_ms: float) -> bool:
-        """Set ``amount`` aside for a request that may begin; return whether it was there."""
+        """Reserve ``amount`` tokens for a request; return False if they are not free."""
         _check_amount(amount)
         if amount > self.free:
             return False
         self.reserved += amount
-        self._note_demand(amount, now_ms)
+        self._record_demand(amount, now_ms)
         return True
 
     def settle(self, reserved: int, used: int) -> None:
-        """Replace what an ended request had set aside by what it used."""
+        """Replace the reservation of a finished request by the tokens that it used."""
         self.reserved -= reserved
         self.used += used
         self.spent += used
 
     def lend(self, amount: int, now_ms: float | None = None) -> int:
-        """Give up to ``amount`` of what is free to another router; return how much.
+        """Lend up to ``amount`` free tokens to another router; return the number lent.
 
-        With ``now_ms`` it counts as demand.
+        If ``now_ms`` is given, the loan counts as demand at that time.
         """
         given = max(0, min(amount, self.free))
         self.lent += given
         if given and now_ms is not None:
-            self._note_demand(given, now_ms)
+            self._record_demand(given, now_ms)
         return given
 
     def lend_reserved(self, amount: int) -> None:
-        """Give what was set aside to another router."""
+        """Lend ``amount`` reserved tokens to another router."""
         _check_amount(amount)
         self.reserved -= amount
         self.lent += amount
 
     def borrow(self, amount: int) -> bool:
-        """Take in what another router gave; return whether it counts."""
+        """Add ``amount`` tokens lent by another router; return False if frozen."""
         _check_amount(amount)
         if self.frozen:
             return False
         self.borrowed += amount
         return True
 
-    def count_as_closed(self) -> None:
-        """Begin anew after the store has counted the session as closed at ``bound`` or more.
+    def rebase_after_close(self) -> None:
+        """Start over after the store counted the session as closed with at least ``bound`` tokens.
 
-        What the session may still use of that stays at hand, without any grant.
+        The tokens of that count which are not yet used stay free, without any grant.
         """
         self.used -= self.bound
         self.granted = 0
         self.ceiling = None
 
     def demand(self, waiting: int, now_ms: float) -> Demand:
-        """Return what this router's requests need, with ``waiting`` tokens waited for."""
-        self._age(now_ms)
+        """Return the demand of this router, whose waiting requests need ``waiting`` tokens."""
+        self._decay_rate(now_ms)
         return Demand(
             committed=self.committed,
             waiting=waiting,
             per_second=self._per_second(now_ms),
-            request_size=int(self._request) or waiting,
+            request_size=int(self._request_size) or waiting,
         )
 
     def target(
@@ -136,11 +140,11 @@
         is_primary: bool = False,
         outage: OutageOutlook = NO_OUTAGE,
     ) -> int:
-        """Return the allowance to ask for, never less than what is committed.
+        """Return the allowance to request from the store, at least the committed tokens.
 
-        What is waited for is asked for whole or not at all. While the account is ``idle``,
-        nothing is kept beyond what requests need. The primary keeps the reserve for all, which
-        follows the ``outage`` that is expected.
+        The tokens of waiting requests are included entirely or not at all. While the account is
+        ``idle``, there is no reserve. Otherwise the primary keeps the reserve for all routers,
+        sized for the expected ``outage``.
         """
         max_allowance = document.max_allowance(session, limit)
         needed = demand.committed + demand.waiting
@@ -163,29 +167,29 @@
         return needed + reserve
 
     def _per_second(self, now_ms: float) -> float:
-        """Return the rate of demand; what is seen of a young balance is scaled up."""
-        if self._first_ms is None:
+        """Return the demand in tokens per second, extrapolated while the balance is new."""
+        if self._first_demand_ms is None:
             return 0.0
-        age_ms = max(_LEAST_AGE_MS, now_ms - self._first_ms)
-        seen = 1.0 - 0.5 ** (age_ms / _HALF_LIFE_MS)
-        return float(self._rate * math.log(2) * 1_000 / _HALF_LIFE_MS / seen)
-
-    def _note_demand(self, amount: int, now_ms: float) -> None:
-        if self._first_ms is None:
-            self._first_ms = now_ms
-        self._age(now_ms)
+        age_ms = max(_MIN_AGE_MS, now_ms - self._first_demand_ms)
+        observed = 1.0 - 0.5 ** (age_ms / _RATE_HALF_LIFE_MS)
+        return float(self._rate * math.log(2) * 1_000 / _RATE_HALF_LIFE_MS / observed)
+
+    def _record_demand(self, amount: int, now_ms: float) -> None:
+        if self._first_demand_ms is None:
+            self._first_demand_ms = now_ms
+        self._decay_rate(now_ms)
         self._rate += amount
-        if not self._request:
-            self._request = float(amount)
-        self._request += _SIZE_WEIGHT * (amount - self._request)
+        if not self._request_size:
+            self._request_size = float(amount)
+        self._request_size += _REQUEST_SIZE_WEIGHT * (amount - self._request_size)
 
-    def _age(self, now_ms: float) -> None:
-        elapsed = max(0.0, now_ms - self._rate_ms)
-        self._rate *= 0.5 ** (elapsed / _HALF_LIFE_MS)
-        self._rate_ms = max(self._rate_ms, now_ms)
+    def _decay_rate(self, now_ms: float) -> None:
+        elapsed = max(0.0, now_ms - self._rate_updated_ms)
+        self._rate *= 0.5 ** (elapsed / _RATE_HALF_LIFE_MS)
+        self._rate_updated_ms = max(self._rate_updated_ms, now_ms)
 
 
 def _check_amount(amount: int) -> None:
-    """Raise INTERNAL for a negative amount, which would move tokens the other way."""
+    """Raise INTERNAL if an amount is negative, which would reverse the direction of a transfer."""
     if amount < 0:
-        raise AspengateError(ErrorKind.INTERNAL, f"a negative amount of tokens: {amount}")
+        raise AspengateError(ErrorKind.INTERNAL, f"number of tokens is negative: {amount}")
--- a/src/aspengate/allowances/_restoration.py
+++ b/src/aspengate/allowances/_restoration.py
@@ -1,10 +1,11 @@
-"""What an account's document is to hold after the store has come back from an older copy.
+"""Restores an account's document after the store was restored from an older copy.
 
-The writes of the last seconds are gone then, while the sessions that they allowed tokens to may
-have used them. Whoever knows more than the store writes it again, and nothing is granted anew
-before. Documents of one history follow each other, so the newest one that a router has read stands
-for all before it. Two that went different ways are joined so that nothing is counted less than in
-either of them; too much may be counted, which the witnesses of dead sessions mend.
+Such a copy lacks the writes of the last seconds, while the sessions that these writes granted
+tokens may have used them. Every router that has newer data writes it again, and no tokens are
+granted before that. Documents of one history of the store succeed each other, so that the newest
+one that a router has read includes all earlier ones. Two documents that diverged are merged so that
+no count is lower than in either of them. The result may count too much, which is corrected with
+the ceilings that witnesses hold for dead sessions.
 """
 
 from collections.abc import Mapping
@@ -16,10 +17,10 @@
 
 
 def adopt_document(document: AllowanceDocument, revision: int, era: int) -> AllowanceDocument:
-    """Return a document that was read at ``revision`` as one of the history ``era``.
+    """Return a document that was read at ``revision`` as a document of the history ``era``.
 
-    One that was written in an earlier history is the copy's: what others know of that history is
-    compared with it later.
+    A document of an earlier history comes from the copy. It records its revision and its closed
+    tokens, with which documents that other routers remember of that history are compared later.
     """
     if document.era >= era:
         return document
@@ -38,9 +39,9 @@
     known_revision: int,
     era: int,
 ) -> AllowanceDocument:
-    """Return what the store is to hold in the history ``era`` where ``known`` is of an earlier one.
+    """Return the document to write in the history ``era``, given ``known`` of an earlier history.
 
-    ``stored`` is what it holds. Each comes with its revision.
+    ``stored`` is the document that the store contains. The revisions are those of the documents.
     """
     is_copy = stored.era < era
     adopted = adopt_document(stored, stored_revision, era)
@@ -51,15 +52,16 @@
         return msgspec.structs.replace(
             known, era=era, restored_from=known_revision, restored_closed=known.closed
         )
-    return _joined(adopted, known, known_revision)
+    return _merged(adopted, known, known_revision)
 
 
 def restore_sessions(
     document: AllowanceDocument, used: Mapping[str, int], witness: str = ""
 ) -> AllowanceDocument:
-    """Return the document with each session allowed at least what it may have used.
+    """Return the document with the allowance of each session at least the tokens it may have used.
 
-    ``used`` is that by session. ``witness`` is named as theirs where it is given.
+    ``used`` maps sessions to these tokens. ``witness``, if given, becomes the witness of each
+    session that is changed and has none.
     """
     missing = {
         session: amount
@@ -76,17 +78,17 @@
     )
 
 
-def _joined(
+def _merged(
     stored: AllowanceDocument, known: AllowanceDocument, known_revision: int
 ) -> AllowanceDocument:
-    """Return a document that counts no less than either of two."""
+    """Return a document in which no count is lower than in either of two documents."""
     sessions = dict(stored.sessions)
     for session, allowance in known.sessions.items():
         if not stored.has_ended(session):
             sessions[session] = max(allowance, sessions.get(session, 0))
     sessions = {name: value for name, value in sessions.items() if not known.has_ended(name)}
     witnesses = {**known.witnesses, **stored.witnesses}
-    joined = msgspec.structs.replace(
+    merged = msgspec.structs.replace(
         stored,
         sessions=sessions,
         witnesses={name: each for name, each in witnesses.items() if name in sessions},
@@ -95,4 +97,4 @@
         restored_from=max(known_revision, stored.restored_from),
         restored_closed=max(stored.restored_closed, known.closed),
     )
-    return joined.with_limit(known.limit, known.limit_as_of)
+    return merged.with_limit(known.limit, known.limit_as_of)
--- a/src/aspengate/allowances/_sizing.py
+++ b/src/aspengate/allowances/_sizing.py
@@ -1,4 +1,4 @@
-"""How many tokens a router keeps at hand beyond what its requests need."""
+"""Sizes of the reserves of prepaid tokens that routers keep."""
 
 import math
 from dataclasses import dataclass
@@ -6,10 +6,11 @@
 
 @dataclass(frozen=True)
 class Demand:
-    """What a router's requests need: ``committed`` is used or reserved, ``waiting`` waits.
+    """Holds the demand of a router's requests, in tokens.
 
-    ``per_second`` is the rate at which it reserved lately, ``request`` the size of a usual
-    request, or of the first one.
+    ``committed`` tokens are used, reserved or lent, and ``waiting`` tokens are needed by waiting
+    requests. ``per_second`` is the recent rate of reservations, ``request_size`` the moving average
+    of the sizes of requests, or ``waiting`` before the first one.
     """
 
     committed: int
@@ -20,12 +21,15 @@
 
 @dataclass(frozen=True)
 class AllocationState:
-    """How an account stands: of ``limit`` tokens ``unheld`` are held by nobody.
+    """Holds how the tokens of an account are allocated, and what is known about outages.
 
-    ``routers`` may hold some. ``part`` is this router's part in what all of them used so far, 0
-    to 1. ``lost_sessions`` took along what they held. ``outage_ms`` is the longest outage of the
-    store that was seen, 0 where none was, and ``readiness``, 0 to 1, how far the time has passed
-    in which none is expected after one.
+    ``unallocated`` of ``limit`` tokens are not allocated to any session. ``routers`` is the number
+    of routers that may hold some, and ``share``, 0 to 1, this router's share of the allowances of
+    all sessions, which is taken as 1 on the primary. ``lost_sessions`` is the number of sessions
+    that ended without returning the tokens they held.
+
+    ``outage_ms`` is the longest outage of the store that was seen, 0 if none was. ``readiness``, 0
+    to 1, is the elapsed fraction of the period after an outage in which no other one is expected.
     """
 
     limit: int
@@ -73,19 +77,19 @@
     headroom_requests: int = 2
 
     def ceiling_headroom(self, demand: Demand) -> int:
-        """Return how far a ceiling is raised above what is committed.
+        """Return how far a ceiling is raised above the committed tokens.
 
-        That much is lost with a router whose witness survives it.
+        If a router dies and its witness survives, up to this number of tokens is lost.
         """
         wanted = demand.per_second * self.headroom_ms / 1_000
         return int(wanted + self.headroom_requests * demand.request_size)
 
     def borrower_reserve(self, demand: Demand) -> int:
-        """Return what a router keeps of what it borrowed; it is lost with the router."""
+        """Return the borrowed tokens that a router keeps unused; they are lost if it dies."""
         return int(demand.per_second * self.headroom_ms / 1_000)
 
     def reserve(self, demand: Demand, state: AllocationState) -> int:
-        """Return the tokens to keep at hand."""
+        """Return the number of tokens to keep in reserve."""
         if state.limit <= 0 or state.unallocated <= 0:
             return 0
         horizon_ms = max(state.outage_ms * self.outage_margin, self.horizon_ms)
@@ -100,5 +104,5 @@
         else:
             max_reserve = state.unallocated * max(state.share * self.demand_fraction, equal_share)
             max_reserve *= min(1.0, state.unallocated / state.limit)
-        caution = self.loss_factor ** (state.lost_sessions / routers)
-        return int(min(wanted * caution, max_reserve))
+        loss_discount = self.loss_factor ** (state.lost_sessions / routers)
+        return int(min(wanted * loss_discount, max_reserve))
--- a/src/aspengate/gateway/prepaid/_writer.py
+++ b/src/aspengate/gateway/prepaid/_writer.py
@@ -238,7 +238,7 @@
             document = restored
             if account.listed and self.session not in document.sessions:
                 account.listed = False
-                account.balance.count_as_closed()
+                account.balance.rebase_after_close()
                 log_change("allowance.closed_elsewhere", account=account.name)
 
     def _without_dead(self, name: str, document: AllowanceDocument) -> AllowanceDocument:
