--- a/features/steps/allowance_steps.py
+++ b/features/steps/allowance_steps.py
@@ -194,8 +194,8 @@
 @given("a router that hears of the store's history for the first time")
 def first_heard(context):
     context.world = World(LIMIT)
-    context.world.accounts[0].restore(has_returned=False)
-    context.world.accounts[1].restore(has_returned=True)
+    context.world.accounts[0].restore(store_restored=False)
+    context.world.accounts[1].restore(store_restored=True)
 
 
 @then("it says that the store holds all it knows a second later, and one that was there at once")
@@ -228,7 +228,7 @@
     assert [each.restored_era for each in world.accounts] == [world.store.era.current] * 3
 
 
-def nothing_restored(self, *, has_returned):
+def nothing_restored(self, *, store_restored):
     """Write nothing again."""
 
 
--- a/features/steps/allowance_world.py
+++ b/features/steps/allowance_world.py
@@ -345,7 +345,7 @@
     def close_silent(self, number):
         """The witness of a router that still runs takes it for gone."""
         session = self.session_of(number)
-        self.accounts[(number + 1) % len(self.accounts)]._close_silent(session, ("board",))
+        self.accounts[(number + 1) % len(self.accounts)]._close_unresponsive(session, ("board",))
 
     def come_back(self, earlier, order):
         """The store comes back from a copy; routers hear of it in some order, soon."""
@@ -353,7 +353,7 @@
         self.store.next_write = "done"
         self.store.come_back(earlier)
         for number in order:
-            self.accounts[number].restore(has_returned=True)
+            self.accounts[number].restore(store_restored=True)
         self.clock.advance(SETTLE_MS)
 
     def pay(self, lender, payment):
--- a/features/steps/reserve_steps.py
+++ b/features/steps/reserve_steps.py
@@ -114,7 +114,7 @@
     with account.changed:
         account.waiting += context.tickets
         account.document = None
-    writer.work(account)
+    writer.process(account)
 
 
 @then("those that it holds tokens for go on waiting, and the others are refused")
--- a/src/aspengate/gateway/_daemon.py
+++ b/src/aspengate/gateway/_daemon.py
@@ -257,7 +257,7 @@
             # Their answers would be of the history before.
             self.deployment.store.end_watches()
             self.peering.note_store_restored()
-        self.tokens.restore(has_returned=before is not None)
+        self.tokens.restore(store_restored=before is not None)
 
     def _is_ready(self) -> bool:
         is_listed = bool(self.mirrors.replicas.state.revision)
--- a/src/aspengate/gateway/prepaid/__init__.py
+++ b/src/aspengate/gateway/prepaid/__init__.py
@@ -1,4 +1,4 @@
-"""Prepaid tokens for requests: reserved before a run, settled after it, drawn from the store."""
+"""Prepaid tokens of requests: reserved before a request runs, settled after it."""
 
 from aspengate.gateway.prepaid._account import ALLOWANCE_PREFIX, LimitSource, Ticket
 from aspengate.gateway.prepaid._accounts import TokenAccounts
--- a/src/aspengate/gateway/prepaid/_account.py
+++ b/src/aspengate/gateway/prepaid/_account.py
@@ -1,4 +1,4 @@
-"""One account as this router knows it."""
+"""The state of one account's prepaid tokens on this router."""
 
 import threading
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class LimitSource:
-    """An account's limit, as of the ``revision`` of the configuration that it was read from."""
+    """Holds an account's limit and the ``revision`` of the configuration that it was read from."""
 
     limit: int
     revision: int = 0
@@ -21,11 +21,12 @@
 
 @dataclass
 class Ticket:
-    """A request that waits for tokens.
+    """Represents a request that waits for tokens.
 
-    ``on_decided`` is called once it is granted or refused, with the account's lock held.
-    ``source_failed`` means that the source which was asked has none; it is not decided yet. Once
-    it ``awaits_lenders``, only these tell that.
+    ``on_decided`` is called with the account's lock held once the request is granted or refused; it
+    is None for requests of this router's own callers. ``source_failed`` means that the source that
+    was asked has no tokens, while the request itself is not yet decided. Once the request
+    ``awaits_lenders``, only the end of that loan sets ``source_failed``.
     """
 
     amount: int
@@ -37,11 +38,11 @@
 
     @property
     def decided(self) -> bool:
-        """Whether the request need not wait any longer."""
+        """Whether the request was granted or refused."""
         return self.granted or self.refused is not None
 
     def decide(self, *, refused: ErrorKind | None = None) -> None:
-        """Grant the request, or refuse it."""
+        """Grant the request, or refuse it if ``refused`` is given."""
         self.granted = refused is None
         self.refused = refused
         if self.on_decided is not None:
@@ -50,27 +51,30 @@
 
 @dataclass
 class Account:
-    """One account's balance with what is known of its document; guarded by ``changed``.
-
-    ``session`` is this router's own, under which the document lists what it may use.
-    ``limit`` is what it may use in all, as the last configuration said.
-
-    ``known`` is the newest document that the store is known to have held, as of ``known_revision``,
-    also while ``document`` is not believed. ``restores`` means that the store came back from an
-    older copy and holds less than is known here, ``is_unchecked`` that this is not known yet,
-    ``is_copy`` that what it holds is of before, and
-    ``recovers_others`` that it may lack what this router remembers of other sessions.
-
-    ``uncertain`` means that a write without an answer may still take effect while the document
-    is unchanged: only another write, which moves the revision on, rules that out. ``listed``
-    means that the store confirmed this session's entry in the document. ``named_witness`` is the
-    witness that the document names for it, whatever becomes of writes without answer; empty where
-    that is not certain.
-
-    Until the times given here, in monotonic milliseconds: requests of ``exhausted_amount`` or
-    more are not covered; the primary has nothing to lend, nor have the others, nor have those
-    that hold some by the document; these are being asked; and nothing is to be kept beyond what
-    requests need.
+    """Holds an account's balance and the state of its document; guarded by ``changed``.
+
+    ``session`` is this router's own, under which the document lists its allowance. ``limit`` is the
+    account's limit in the latest configuration. ``document`` is the document as last read or
+    written, at ``revision``; None if it has to be read again.
+
+    ``last_stored`` is the newest document that the store is known to have contained, at
+    ``last_stored_revision``; it is kept while ``document`` is None. The following flags concern a
+    store that was restored from an older copy: ``needs_restore`` means that the store contains less
+    than is known here, ``is_unchecked`` that this has not been determined yet, ``is_copy`` that the
+    stored document predates the restoration, and ``recovers_others`` that the document may lack
+    allowances that this router remembers of other sessions.
+
+    ``uncertain`` means that a write without a response may still take effect as long as the
+    document is unchanged; only another write, which advances the revision, rules that out.
+    ``listed`` means that the store confirmed this session's entry in the document.
+    ``named_witness`` is the witness that the document names for this session, regardless of the
+    outcome of unanswered writes; empty if that is uncertain.
+
+    The ``..._until_ms`` fields are monotonic times in ms. Until then: requests of at least
+    ``exhausted_amount`` tokens are not covered (``exhausted``); the primary has no tokens to lend
+    (``primary_empty``); the other routers have none (``others_empty``); the sessions that hold some
+    according to the document have none (``holders_empty``); these sessions are being asked
+    (``awaiting_holders``); no tokens are to be kept beyond what requests need (``scarce``).
     """
 
     name: str
@@ -79,67 +83,71 @@
     limit: int = 0
     document: AllowanceDocument | None = None
     revision: int = 0
-    known: AllowanceDocument | None = None
-    known_revision: int = 0
+    last_stored: AllowanceDocument | None = None
+    last_stored_revision: int = 0
     needs_restore: bool = False
     is_unchecked: bool = False
     is_copy: bool = False
     recovers_others: bool = False
-    working: bool = False
+    is_being_written: bool = False
     uncertain: bool = False
     listed: bool = False
     named_witness: str = ""
     waiting: list[Ticket] = field(default_factory=list)
     exhausted_until_ms: float = 0.0
     exhausted_amount: int = 0
-    unavailable_until_ms: float = 0.0
+    primary_empty_until_ms: float = 0.0
     others_empty_until_ms: float = 0.0
     holders_empty_until_ms: float = 0.0
-    asking_holders_until_ms: float = 0.0
+    awaiting_holders_until_ms: float = 0.0
     scarce_until_ms: float = 0.0
-    used_ms: float = 0.0
+    last_used_ms: float = 0.0
     changed: threading.Condition = field(default_factory=threading.Condition)
 
     @property
     def key(self) -> str:
-        """Where the account's document is in the store."""
+        """The key of the account's document in the store."""
         return ALLOWANCE_PREFIX + self.name
 
     @property
-    def is_lowered(self) -> bool:
-        """Whether less is used than the document allows; nobody else gets the rest meanwhile."""
+    def has_unwritten_reduction(self) -> bool:
+        """Whether this session's allowance was lowered here but not yet in the store.
+
+        Until the store is updated, no other session can use the difference.
+        """
         document, balance = self.document, self.balance
         if document is None or not self.listed:
             return False
         return balance.granted < document.allowance(self.session)
 
     @property
-    def waited_for(self) -> int:
-        """The tokens that waiting requests need."""
+    def waiting_tokens(self) -> int:
+        """The sum of the tokens that waiting requests need."""
         return sum(ticket.amount for ticket in self.waiting)
 
     @property
-    def first_own(self) -> Ticket | None:
-        """The first waiting request of this router's own callers."""
+    def first_own_ticket(self) -> Ticket | None:
+        """The first waiting request of this router's own callers, or None."""
         return next((ticket for ticket in self.waiting if ticket.on_decided is None), None)
 
     def set_document(self, document: AllowanceDocument, item: StoreItem | None) -> None:
-        """Believe a document that was read."""
+        """Use a document that was read from the store."""
         self.document = document
         self.revision = item.revision if item else 0
 
     def record_stored(self, era: int) -> None:
-        """Note that the store holds the present document in its history ``era``."""
-        self.known = self.document
-        self.known_revision = max(self.revision, make_revision(era, 0))
+        """Record that the store contains the current document in its history ``era``."""
+        self.last_stored = self.document
+        self.last_stored_revision = max(self.revision, make_revision(era, 0))
         self.needs_restore = False
         self.is_unchecked = False
         self.recovers_others = False
 
     def grant_waiting(self, now_ms: float) -> None:
-        """Grant the waiting requests that are covered, in order; call it with the lock held.
+        """Grant the waiting requests that are covered, in order; requires the lock.
 
-        What is told of a decision may come back here before the next request is looked at.
+        A callback of a granted request may call this method again before the next request is
+        examined.
         """
         for ticket in list(self.waiting):
             if ticket in self.waiting and self.balance.reserve(ticket.amount, now_ms):
@@ -148,17 +156,17 @@
         self.changed.notify_all()
 
     def refuse_waiting(self, kind: ErrorKind) -> None:
-        """Refuse all waiting requests; call it with the lock held."""
+        """Refuse all waiting requests; requires the lock."""
         waiting, self.waiting = self.waiting, []
         for ticket in waiting:
             ticket.decide(refused=kind)
         self.changed.notify_all()
 
     def try_next_source(self, *, borrowers: bool, held: int = 0) -> None:
-        """Have waiting requests look elsewhere; with ``borrowers``, refuse those of others too.
+        """Make waiting requests try their next source; requires the lock.
 
-        The first ones that ``held`` tokens cover go on waiting: only their witness is to hear of
-        them. Call it with the lock held.
+        With ``borrowers``, requests of other routers are refused. The first requests that ``held``
+        tokens cover keep waiting, since they only need their witness to accept a ceiling.
         """
         for ticket in list(self.waiting):
             if ticket.amount <= held:
@@ -171,13 +179,13 @@
         self.changed.notify_all()
 
     def stop_borrowing(self) -> None:
-        """Have those that asked other routers know that these have none; the lock is held."""
+        """Make requests that wait for lenders go on without them; requires the lock."""
         for ticket in self.waiting:
             ticket.source_failed = ticket.source_failed or ticket.awaits_lenders
         self.changed.notify_all()
 
     def remove_waiting(self, ticket: Ticket) -> None:
-        """Forget a request that waits no longer; call it with the lock held."""
+        """Remove a request that does not wait any more; requires the lock."""
         if ticket in self.waiting:
             self.waiting.remove(ticket)
 
--- a/src/aspengate/gateway/prepaid/_lending.py
+++ b/src/aspengate/gateway/prepaid/_lending.py
@@ -1,4 +1,4 @@
-"""Lends tokens to other routers, and takes what they pay back."""
+"""Lends tokens to other routers and accepts their repayments."""
 
 import threading
 from collections import OrderedDict
@@ -10,14 +10,14 @@
 from aspengate.peers import PENDING, LoanReply, LoanRequest, Repayment
 from aspengate.telemetry import Counters, log_change
 
-_MOST_REPLIES = 4_096
-_MOST_BORROWERS = 65_536
+_MAX_REPLIES = 4_096
+_MAX_BORROWERS = 65_536
 
 Answer = Callable[[LoanReply], None]
 
 
 class Lender:
-    """Serves loan requests of other routers; each is served once, however often it comes."""
+    """Serves other routers' loan requests, each of them once even if it arrives repeatedly."""
 
     def __init__(self, supply: Supply, counters: Counters) -> None:
         self._supply = supply
@@ -27,24 +27,25 @@
         self._lock = threading.Lock()
 
     def handle_request(self, account: Account, request: LoanRequest, answer: Answer) -> None:
-        """Lend at once where tokens are at hand, else as soon as it is decided.
+        """Lend immediately if enough tokens are free, otherwise as soon as the request is decided.
 
-        A router that is not the primary gets nothing more on behalf of one that only stocks up:
-        two that take each other for the primary would ask each other without end.
+        A router that is not the primary does not obtain tokens on behalf of a borrower that only
+        fills its reserve: two routers that each consider the other the primary would send requests
+        back and forth without end.
         """
-        if self._was_served(request, answer):
+        if self._is_repeated(request, answer):
             return
         now = self._supply.clock.monotonic_ms()
         with account.changed:
-            account.used_ms = now
+            account.last_used_ms = now
             self._serve(account, request, answer, now)
             if request.needed or self._supply.loans.is_primary(account.name):
                 self._supply.prefetch(account, now)
 
     def handle_repayment(self, account: Account, payment: Repayment) -> bool:
-        """Take tokens back; return False where they can't count any more."""
+        """Accept repaid tokens; return False if they cannot be accepted any more."""
         with self._lock:
-            known = len(self._repaid) < _MOST_BORROWERS or payment.session in self._repaid
+            known = len(self._repaid) < _MAX_BORROWERS or payment.session in self._repaid
             if not known:
                 return False
             if payment.number <= self._repaid.get(payment.session, 0):
@@ -60,13 +61,17 @@
         self._counters.count("allowances.repaid")
         return True
 
-    def _was_served(self, request: LoanRequest, answer: Answer) -> bool:
-        """Return whether a request is not new; repeat its reply, or tell that there is none."""
+    def _is_repeated(self, request: LoanRequest, answer: Answer) -> bool:
+        """Return whether a request is a repetition, and if so repeat its reply.
+
+        A request with ``repeats`` that never arrived before is refused, then and when it arrives
+        later.
+        """
         identity = (request.session, request.number)
         with self._lock:
             if identity not in self._replies:
-                self._replies[identity] = _never_served(request) if request.repeats else None
-                while len(self._replies) > _MOST_REPLIES:
+                self._replies[identity] = _refuse_unserved(request) if request.repeats else None
+                while len(self._replies) > _MAX_REPLIES:
                     self._replies.popitem(last=False)
                 if not request.repeats:
                     return False
@@ -98,15 +103,15 @@
             return
 
         def decided(ticket: Ticket) -> None:
-            self._decided(account, request, ticket, answer)
+            self._answer_decided(account, request, ticket, answer)
 
         account.waiting.append(Ticket(request.needed, on_decided=decided))
         self._supply.draw(account, now)
 
-    def _decided(
+    def _answer_decided(
         self, account: Account, request: LoanRequest, ticket: Ticket, answer: Answer
     ) -> None:
-        """Answer a request that waited; the account's lock is held."""
+        """Answer a request that had to wait; requires the account's lock."""
         if ticket.granted:
             account.balance.lend_reserved(ticket.amount)
             self._reply(request, answer, given=ticket.amount)
@@ -139,7 +144,7 @@
         answer(reply)
 
 
-def _never_served(request: LoanRequest) -> LoanReply:
-    """Return the reply to a question after a request that did not arrive, and is too late now."""
+def _refuse_unserved(request: LoanRequest) -> LoanReply:
+    """Return the refusal of a request that arrives after the query for its outcome."""
     code = ErrorKind.BUDGET_UNAVAILABLE.value
     return LoanReply(request.number, request.session, request.account, 0, code)
--- a/src/aspengate/gateway/prepaid/_loans.py
+++ b/src/aspengate/gateway/prepaid/_loans.py
@@ -1,4 +1,4 @@
-"""Asks other routers for tokens: an account's primary first, which draws them for all."""
+"""Borrows tokens from other routers: first from the account's primary, which draws for all."""
 
 import threading
 from collections import OrderedDict
@@ -12,96 +12,107 @@
 from aspengate.peers import PENDING, LoanReply, LoanRequest, Member, Repayment, RepaymentReply
 from aspengate.telemetry import Counters, lasting_thread, log_change
 
-_REPEAT_MS = 40.0
-_LOST_MS = 200.0
+_REPEAT_INTERVAL_MS = 40.0
+_REPLY_TIMEOUT_MS = 200.0
 _SUSPECT_MS = 2_000.0
-_OTHERS = 4
-_MOST_GIVEN_UP = 256
-# What became of a request that was given up is asked each so often, for so long, in ms: a lender
-# that served it counts its tokens as gone, and they are lost where no answer arrives. On a day with
-# leaders behind slow links that was 4 in 100 of all tokens (30 routers, 1 play).
-_LATE_REPEAT_MS = 1_000.0
-_LATE_MS = 10_000.0
+_MAX_OTHERS = 4
+_MAX_TIMED_OUT = 256
+# The interval between queries for the outcome of a request that timed out, and the period after
+# which they end. A lender that served the request counts the tokens as lent, so that they are lost
+# if no reply arrives. With leaders behind slow links, 4% of all tokens were lost that way
+# (30 routers).
+_STATUS_INTERVAL_MS = 1_000.0
+_STATUS_PERIOD_MS = 10_000.0
 
 
 class Loans(Protocol):
-    """How a router borrows tokens and pays them back."""
+    """Interface for borrowing tokens from other routers and for paying them back."""
 
     def is_primary(self, account: str) -> bool:
         """Return whether this router draws the account's tokens from the store for all."""
 
     def borrow_from_primary(self, account: str, needed: int, extra: int) -> bool:
-        """Ask the primary for ``needed`` tokens or none, and up to ``extra`` more.
+        """Ask the primary for exactly ``needed`` tokens or none, and for up to ``extra`` more.
 
-        Return whether an answer or a failure will be told.
+        Return whether a reply or a failure will be reported.
         """
 
     def borrow_from_successor(self, account: str, needed: int) -> bool:
-        """Ask the router that would draw if the primary, which gave none, were not there.
+        """Ask the router that would be primary if the one asked last were down.
 
-        Return whether there is another one, whose answer or failure will be told.
+        Return whether there is such a router, whose reply or failure will be reported.
         """
 
     def borrow_from_others(self, account: str, needed: int) -> bool:
-        """Ask some other routers; return whether there are any."""
+        """Ask some other routers for ``needed`` tokens; return whether there are any."""
 
     def borrow_from_holders(self, account: str, needed: int, sessions: Iterable[str]) -> bool:
-        """Ask the live ones of ``sessions`` for what they hold; return whether there are any."""
+        """Ask the live ones of ``sessions`` for held tokens; return whether there are any."""
 
     def repay(self, account: str, amount: int) -> bool:
-        """Give tokens to the primary; return whether they are on their way, and gone from here."""
+        """Repay tokens to the primary.
+
+        Return whether they were sent, in which case this router must not use them any more.
+        """
 
 
 class NoLoans:
-    """Stands in where a router has no peers."""
+    """Implements ``Loans`` for a router without peers."""
 
     def is_primary(self, account: str) -> bool:
-        """Return that this router draws for itself."""
+        """Return True: this router draws for itself."""
         return True
 
     def borrow_from_primary(self, account: str, needed: int, extra: int) -> bool:
-        """Return that there is nobody to ask."""
+        """Return False: there is no other router."""
         return False
 
     def borrow_from_successor(self, account: str, needed: int) -> bool:
-        """Return that there is nobody to ask."""
+        """Return False: there is no other router."""
         return False
 
     def borrow_from_others(self, account: str, needed: int) -> bool:
-        """Return that there is nobody to ask."""
+        """Return False: there is no other router."""
         return False
 
     def borrow_from_holders(self, account: str, needed: int, sessions: Iterable[str]) -> bool:
-        """Return that there is nobody to ask."""
+        """Return False: there is no other router."""
         return False
 
     def repay(self, account: str, amount: int) -> bool:
-        """Return that there is nobody to pay back to."""
+        """Return False: there is no other router."""
         return False
 
 
 class PeerList(Protocol):
-    """The other routers, as far as loans need them."""
+    """Interface of the list of other routers, as far as loans need it."""
 
     def primary(
         self, account: str, suspects: frozenset[str], *, own_reaches: bool | None
     ) -> Member:
-        """Return the router that draws an account's tokens, which may be this one."""
+        """Return the router that draws an account's tokens, which may be this one.
+
+        ``suspects`` are sessions to avoid. ``own_reaches`` is whether this router reaches the
+        store, or None to ignore that.
+        """
 
     def lenders(self, most: int) -> list[Member]:
         """Return up to ``most`` live routers, those that reach the store first."""
 
     def alive(self) -> list[Member]:
-        """Return the other routers that were heard of lately."""
+        """Return the other routers from which a message arrived recently."""
 
 
 @dataclass(frozen=True)
-class _Open:
-    """A message that waits for its answer; ``is_primary`` tells whether a failure is told."""
+class _OpenMessage:
+    """Holds a message that waits for its reply.
+
+    ``is_primary`` means that the message went to the primary, whose failure is reported.
+    """
 
     message: LoanRequest | Repayment
     lender: Member
-    begun_ms: float
+    started_ms: float
     is_primary: bool = True
 
 
@@ -136,12 +147,12 @@
         self._counters = counters
         self._send = send
         self._number = 0
-        self._open: dict[int, _Open] = {}
+        self._open: dict[int, _OpenMessage] = {}
         self._pending: set[int] = set()
-        self._given_up: OrderedDict[int, _Open] = OrderedDict()
-        self._late: dict[int, float] = {}
+        self._timed_out: OrderedDict[int, _OpenMessage] = OrderedDict()
+        self._next_status_ms: dict[int, float] = {}
         self._asked: dict[str, int] = {}
-        self._last_asked: dict[str, str] = {}
+        self._last_primary: dict[str, str] = {}
         self._repaying: dict[str, int] = {}
         self._suspects: dict[str, float] = {}
         self._changed = threading.Condition()
@@ -149,11 +160,11 @@
         self._thread = lasting_thread(self._run, "loans", counters)
 
     def start(self) -> None:
-        """Begin to repeat what is not answered."""
+        """Start the thread that repeats unanswered messages."""
         self._thread.start()
 
     def close(self) -> None:
-        """Stop."""
+        """Stop the thread."""
         with self._changed:
             self._closing = True
             self._changed.notify_all()
@@ -163,13 +174,13 @@
         return self._primary(account).name == self.own.name
 
     def borrow_from_primary(self, account: str, needed: int, extra: int) -> bool:
-        """Ask the primary, unless it was asked already."""
+        """Ask the primary, unless a request to it is already open."""
         return self._send_request(account, self._primary(account), needed, extra)
 
     def borrow_from_successor(self, account: str, needed: int) -> bool:
-        """Ask the router that would draw if the primary, which gave none, were not there."""
+        """Ask the router that would be primary if the one asked last were down."""
         primary = self._primary(account)
-        asked = self._last_asked.get(account, "")
+        asked = self._last_primary.get(account, "")
         if primary.session == asked:
             primary = self._primary(account, without=asked)
         if primary.session == asked:
@@ -182,65 +193,67 @@
         with self._changed:
             if account in self._asked:
                 return True
-            request = LoanRequest(self._next(), self.own.session, account, needed, extra)
+            request = LoanRequest(self._next_number(), self.own.session, account, needed, extra)
             self._asked[account] = request.number
-            self._last_asked[account] = primary.session
-            self._begin(request, primary)
+            self._last_primary[account] = primary.session
+            self._track(request, primary)
         self._send(request, primary.address)
         return True
 
     def borrow_from_others(self, account: str, needed: int) -> bool:
-        """Ask some other routers at once; what comes beyond the need is paid back later."""
-        found = {lender.session: lender for lender in self._peers.lenders(_OTHERS)}
+        """Ask some other routers at once; surplus tokens are repaid later."""
+        found = {lender.session: lender for lender in self._peers.lenders(_MAX_OTHERS)}
         usual = self._peers.primary(account, frozenset(), own_reaches=None)
         if usual.name != self.own.name:
             found[usual.session] = usual
-        return self._ask_all(account, needed, found.values(), held_only=False)
+        return self._borrow_from_all(account, needed, found.values(), held_only=False)
 
     def borrow_from_holders(self, account: str, needed: int, sessions: Iterable[str]) -> bool:
-        """Ask the live ones of ``sessions`` for what they hold; return whether there are any."""
+        """Ask the live ones of ``sessions`` for held tokens; return whether there are any."""
         listed = set(sessions)
         found = [member for member in self._peers.alive() if member.session in listed]
-        return self._ask_all(account, needed, found, held_only=True)
+        return self._borrow_from_all(account, needed, found, held_only=True)
 
-    def _ask_all(
+    def _borrow_from_all(
         self, account: str, needed: int, lenders: Collection[Member], *, held_only: bool
     ) -> bool:
-        """Ask routers that are not the primary; return whether there are any."""
+        """Send requests to routers other than the primary; return whether there are any."""
         requests = []
         with self._changed:
             for lender in lenders:
-                request = LoanRequest(self._next(), self.own.session, account, needed, 0, held_only)
-                self._begin(request, lender, is_primary=False)
+                request = LoanRequest(
+                    self._next_number(), self.own.session, account, needed, 0, held_only
+                )
+                self._track(request, lender, is_primary=False)
                 requests.append((request, lender.address))
         for request, address in requests:
             self._send(request, address)
         return bool(requests)
 
     def repay(self, account: str, amount: int) -> bool:
-        """Give tokens to the primary, unless others are on their way to it."""
+        """Repay tokens to the primary, unless a repayment to it is already open."""
         primary = self._primary(account)
         if primary.name == self.own.name:
             return False
         with self._changed:
             if primary.session in self._repaying:
                 return False
-            number = self._next()
+            number = self._next_number()
             self._repaying[primary.session] = number
             payment = Repayment(number, self.own.session, primary.session, account, amount)
-            self._begin(payment, primary)
+            self._track(payment, primary)
         self._send(payment, primary.address)
         return True
 
     def handle_reply(self, reply: LoanReply) -> None:
-        """Take the answer to a request."""
+        """Process the reply to a request."""
         with self._changed:
             if reply.session != self.own.session:
                 return
             if reply.refused == PENDING:
                 self._pending.add(reply.number)
                 return
-            late = self._given_up.pop(reply.number, None)
+            late = self._timed_out.pop(reply.number, None)
             found = self._open.pop(reply.number, late)
             self._pending.discard(reply.number)
             if found is None:
@@ -254,13 +267,13 @@
             self.on_lenders_done(reply.account)
 
     def handle_repayment_reply(self, reply: RepaymentReply) -> None:
-        """Take the answer to a repayment."""
+        """Process the reply to a repayment."""
         with self._changed:
             if reply.session == self.own.session:
                 self._end_repayment(reply.number)
 
     def _awaits_lenders(self, account: str) -> bool:
-        """Return whether routers other than the primary are asked; call it with the lock held."""
+        """Return whether requests to non-primary routers are open; requires the lock."""
         return any(
             not each.is_primary and each.message.account == account for each in self._open.values()
         )
@@ -274,14 +287,16 @@
             suspects |= {without}
         return self._peers.primary(account, suspects, own_reaches=self.reaches_store())
 
-    def _next(self) -> int:
+    def _next_number(self) -> int:
         self._number += 1
         return self._number
 
-    def _begin(
+    def _track(
         self, message: LoanRequest | Repayment, lender: Member, *, is_primary: bool = True
     ) -> None:
-        self._open[message.number] = _Open(message, lender, self._clock.monotonic_ms(), is_primary)
+        self._open[message.number] = _OpenMessage(
+            message, lender, self._clock.monotonic_ms(), is_primary
+        )
         self._changed.notify_all()
 
     def _end_repayment(self, number: int) -> None:
@@ -292,59 +307,61 @@
     def _run(self) -> None:
         while True:
             with self._changed:
-                while not self._open and not self._late and not self._closing:
+                while not self._open and not self._next_status_ms and not self._closing:
                     self._changed.wait()
                 if self._closing:
                     return
-                self._changed.wait(_REPEAT_MS / 1_000)
+                self._changed.wait(_REPEAT_INTERVAL_MS / 1_000)
                 now = self._clock.monotonic_ms()
-                lost, repeated = self._sort_out(now)
-                late = self._late_questions(now)
+                timed_out, repeated = self._split_overdue(now)
+                queries = self._status_queries(now)
             for each in repeated:
                 self._send(each.message, each.lender.address)
-            for question, address in late:
-                self._send(question, address)
-            for each in lost:
-                self._give_up(each)
-
-    def _sort_out(self, now: float) -> tuple[list[_Open], list[_Open]]:
-        """Return what is given up, and what is to be sent again; call it with the lock held."""
-        lost = [each for each in self._open.values() if now - each.begun_ms > _LOST_MS]
-        for each in lost:
+            for query, address in queries:
+                self._send(query, address)
+            for each in timed_out:
+                self._report_timeout(each)
+
+    def _split_overdue(self, now: float) -> tuple[list[_OpenMessage], list[_OpenMessage]]:
+        """Return the messages that timed out and those to repeat; requires the lock."""
+        timed_out = [
+            each for each in self._open.values() if now - each.started_ms > _REPLY_TIMEOUT_MS
+        ]
+        for each in timed_out:
             del self._open[each.message.number]
             if isinstance(each.message, Repayment):
                 self._repaying.pop(each.lender.session, None)
             else:
-                self._forget(each)
+                self._abandon_request(each)
             if each.message.number in self._pending:
                 self._pending.discard(each.message.number)
             else:
                 self._suspects[each.lender.session] = now + _SUSPECT_MS
-        due = [each for each in self._open.values() if now - each.begun_ms >= _REPEAT_MS]
-        return lost, due
-
-    def _late_questions(self, now: float) -> list[tuple[LoanRequest, str]]:
-        """Return what is to be asked of requests that were given up; the lock is held."""
-        questions = []
-        for number, next_ms in list(self._late.items()):
-            each = self._given_up.get(number)
-            if each is None or now - each.begun_ms > _LATE_MS:
-                del self._late[number]
+        due = [each for each in self._open.values() if now - each.started_ms >= _REPEAT_INTERVAL_MS]
+        return timed_out, due
+
+    def _status_queries(self, now: float) -> list[tuple[LoanRequest, str]]:
+        """Return the due queries for the outcome of timed-out requests; requires the lock."""
+        queries = []
+        for number, next_ms in list(self._next_status_ms.items()):
+            each = self._timed_out.get(number)
+            if each is None or now - each.started_ms > _STATUS_PERIOD_MS:
+                del self._next_status_ms[number]
             elif now >= next_ms and isinstance(each.message, LoanRequest):
-                self._late[number] = now + _LATE_REPEAT_MS
-                questions.append((replace(each.message, repeats=True), each.lender.address))
-        return questions
+                self._next_status_ms[number] = now + _STATUS_INTERVAL_MS
+                queries.append((replace(each.message, repeats=True), each.lender.address))
+        return queries
 
-    def _forget(self, each: _Open) -> None:
-        """Allow another request; what still comes for this one is taken all the same."""
+    def _abandon_request(self, each: _OpenMessage) -> None:
+        """Allow another request for the account; a late reply is still accepted."""
         if self._asked.get(each.message.account) == each.message.number:
             del self._asked[each.message.account]
-        self._given_up[each.message.number] = each
-        self._late[each.message.number] = each.begun_ms + _LATE_REPEAT_MS
-        while len(self._given_up) > _MOST_GIVEN_UP:
-            self._given_up.popitem(last=False)
+        self._timed_out[each.message.number] = each
+        self._next_status_ms[each.message.number] = each.started_ms + _STATUS_INTERVAL_MS
+        while len(self._timed_out) > _MAX_TIMED_OUT:
+            self._timed_out.popitem(last=False)
 
-    def _give_up(self, each: _Open) -> None:
+    def _report_timeout(self, each: _OpenMessage) -> None:
         self._counters.count("loans.unanswered")
         log_change(
             "loan.unanswered",
--- a/src/aspengate/gateway/prepaid/_peer_grants.py
+++ b/src/aspengate/gateway/prepaid/_peer_grants.py
@@ -1,4 +1,4 @@
-"""What other routers have told of tokens that the store granted them."""
+"""The grants of the store that other routers have announced."""
 
 import threading
 from collections import OrderedDict
@@ -7,33 +7,36 @@
 from aspengate.clock import Clock
 from aspengate.peers import Grant
 
-# So many grants are remembered, the newest of each session and account.
-_MOST_GRANTS = 10_000
+# The maximum number of grants kept, one for each session and account.
+_MAX_GRANTS = 10_000
 
 
 class PeerGrants:
-    """The newest grant of each session of other routers, by account, and when it was heard."""
+    """Holds the newest announced grant of each session and account, and when it arrived.
+
+    Thread-safe. Keeps at most ``_MAX_GRANTS`` grants.
+    """
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._heard: OrderedDict[tuple[str, str], tuple[Grant, float]] = OrderedDict()
+        self._grants: OrderedDict[tuple[str, str], tuple[Grant, float]] = OrderedDict()
         self._lock = threading.Lock()
 
     def record(self, grants: Iterable[Grant]) -> None:
-        """Remember grants; one that is older than another of its session is passed over."""
+        """Record grants, except those older than a known one of their session and account."""
         now = self._clock.monotonic_ms()
         with self._lock:
             for grant in grants:
                 key = (grant.account, grant.session)
-                known = self._heard.get(key)
+                known = self._grants.get(key)
                 if known is not None and known[0].revision > grant.revision:
                     continue
-                self._heard[key] = (grant, now)
-                self._heard.move_to_end(key)
-            while len(self._heard) > _MOST_GRANTS:
-                self._heard.popitem(last=False)
+                self._grants[key] = (grant, now)
+                self._grants.move_to_end(key)
+            while len(self._grants) > _MAX_GRANTS:
+                self._grants.popitem(last=False)
 
     def since(self, since_ms: float) -> list[Grant]:
-        """Return the grants that were heard since ``since_ms``."""
+        """Return the grants that arrived at or after ``since_ms``."""
         with self._lock:
-            return [grant for grant, at_ms in self._heard.values() if at_ms >= since_ms]
+            return [grant for grant, at_ms in self._grants.values() if at_ms >= since_ms]
--- a/src/aspengate/gateway/prepaid/_restorer.py
+++ b/src/aspengate/gateway/prepaid/_restorer.py
@@ -1,4 +1,4 @@
-"""What one router knows of accounts' documents beyond a store that came back from an older copy."""
+"""Restores accounts' documents after the store was restored from an older copy."""
 
 from collections.abc import Callable
 
@@ -16,8 +16,9 @@
 from aspengate.store import KeyValueStore, StoreItem, era_of, make_revision
 from aspengate.telemetry import Counters, log_change
 
-# A copy is younger than this, in ms: what was heard of other sessions before is in it.
-_COPY_AGE_MS = 60_000.0
+# Copies of the store are assumed to be younger than this, so that they contain everything that
+# other sessions announced earlier.
+_MAX_COPY_AGE_MS = 60_000.0
 
 
 class DocumentRestorer:
@@ -50,33 +51,36 @@
         self._ceilings = ceilings
         self._sessions = sessions
         self._grace_ends_ms = float("-inf")
-        self._has_returned = False
+        self._store_restored = False
 
     @property
     def era(self) -> int:
-        """The history that the store names."""
+        """The current history of the store."""
         return self._store.era.current
 
-    def begin_grace_period(self, grace_ms: float, *, has_returned: bool) -> None:
-        """Give the routers up to ``grace_ms`` to write again what the store lost.
+    def begin_grace_period(self, grace_ms: float, *, store_restored: bool) -> None:
+        """Give all routers up to ``grace_ms`` to write again what the store lost.
 
-        Unless it ``has_returned`` from a copy, that holds for copied documents alone.
+        If ``store_restored`` is False, only documents of an earlier history are affected.
         """
         self.recovers_unresponsive = False
-        self._has_returned = has_returned
+        self._store_restored = store_restored
         self._grace_ends_ms = self._clock.monotonic_ms() + grace_ms
 
     def may_grant(self, account: Account) -> bool:
-        """Return whether what the document lacks has been written again, as far as is known."""
+        """Return whether tokens may be granted.
+
+        That holds once the grace period is over, or earlier if everything known was written again.
+        """
         if self._clock.monotonic_ms() >= self._grace_ends_ms:
             return True
-        if not self._has_returned:
+        if not self._store_restored:
             return not account.is_copy
         return not account.needs_restore and self.others_restored(self.era)
 
     def accounts_to_recover(self) -> set[str]:
-        """Return the accounts that sessions which may be dead drew from, as is remembered here."""
-        since_ms = self._since_ms()
+        """Return the accounts that possibly dead sessions drew tokens from."""
+        since_ms = self._copy_horizon_ms()
         witnessed = self._ceilings.open_since(since_ms).items()
         drawn = {
             name for session, names in witnessed if self._may_be_dead(session) for name in names
@@ -84,20 +88,20 @@
         granted = self.peer_grants.since(since_ms)
         return drawn | {each.account for each in granted if self._may_be_dead(each.session)}
 
-    def compare(
+    def reconcile(
         self, account: Account, stored: AllowanceDocument, item: StoreItem | None
     ) -> tuple[AllowanceDocument, bool]:
-        """Return what the store is to hold of an account, and whether it does.
+        """Return the document that the store has to contain, and whether it already does.
 
-        ``stored`` is what ``item`` holds. Call it with the account's lock held.
+        ``stored`` is the document decoded from ``item``. Requires the account's lock.
         """
         revision = item.revision if item else 0
         adopted = adopt_document(stored, revision, self.era)
         restored = adopted
-        if era_of(account.known_revision) < self.era:
-            restored = self._with_known(account, stored, revision, adopted)
+        if era_of(account.last_stored_revision) < self.era:
+            restored = self._with_last_stored(account, stored, revision, adopted)
         if account.recovers_others:
-            restored = self._with_recalled(account.name, restored)
+            restored = self._with_recovered(account.name, restored)
         if restored == adopted:
             return adopted, True
         self._counters.count("allowances.restored")
@@ -110,21 +114,21 @@
         )
         return restored, False
 
-    def _with_known(
+    def _with_last_stored(
         self, account: Account, stored: AllowanceDocument, revision: int, adopted: AllowanceDocument
     ) -> AllowanceDocument:
-        """Return a document with what this router read and was granted before."""
+        """Return the document merged with what this router read and was granted before."""
         restored = adopted
-        if account.known is not None:
-            known, known_revision = account.known, account.known_revision
+        if account.last_stored is not None:
+            known, known_revision = account.last_stored, account.last_stored_revision
             restored = restore_document(stored, revision, known, known_revision, self.era)
         if account.listed:
             restored = restore_sessions(restored, {self.session: account.balance.granted})
         return restored
 
-    def _with_recalled(self, name: str, document: AllowanceDocument) -> AllowanceDocument:
-        """Return a document with what sessions that may be dead have drawn."""
-        since_ms = self._since_ms()
+    def _with_recovered(self, name: str, document: AllowanceDocument) -> AllowanceDocument:
+        """Return the document with the allowances that possibly dead sessions obtained."""
+        since_ms = self._copy_horizon_ms()
         used = {
             session: ceilings[name]
             for session, ceilings in self._ceilings.open_since(since_ms).items()
@@ -141,10 +145,10 @@
         return document
 
     def _may_be_dead(self, session: str) -> bool:
-        """Return whether a session may not write for itself what the store has lost of it."""
+        """Return whether a session may be unable to write what the store lost of it."""
         if not self._sessions.is_alive(session):
             return True
         return self.recovers_unresponsive and not self._sessions.has_restored(session, self.era)
 
-    def _since_ms(self) -> float:
-        return self._clock.monotonic_ms() - _COPY_AGE_MS
+    def _copy_horizon_ms(self) -> float:
+        return self._clock.monotonic_ms() - _MAX_COPY_AGE_MS
--- a/src/aspengate/gateway/prepaid/_statements.py
+++ b/src/aspengate/gateway/prepaid/_statements.py
@@ -1,4 +1,4 @@
-"""Lines of the log that state where an account's tokens are, as far as one router knows."""
+"""Log lines that state where an account's tokens are, as known to one router."""
 
 from aspengate.allowances import AllowanceDocument, TokenBalance
 from aspengate.gateway.prepaid._account import Account
@@ -7,7 +7,7 @@
 
 
 def log_granted(account: Account, document: AllowanceDocument, session: str) -> None:
-    """Tell what the store has granted a session."""
+    """Log an allowance that the store confirmed for a session."""
     log_change(
         "allowance.granted",
         account=account.name,
@@ -22,7 +22,7 @@
 
 
 def log_exhausted(account: Account, limit: int, session: str) -> None:
-    """Tell that none of the waiting requests fits into the account's limit."""
+    """Log that none of the waiting requests fits into the account's limit."""
     document = account.document or AllowanceDocument()
     log_change(
         "allowance.exhausted",
@@ -36,7 +36,10 @@
 
 
 def log_undercounted(account: Account, document: AllowanceDocument) -> None:
-    """Tell of a document that counts less than was spent: more may be handed out than paid."""
+    """Log a document that counts fewer tokens than were spent.
+
+    More tokens may then be granted than were paid for.
+    """
     log_change(
         "allowance.undercounted",
         account=account.name,
@@ -49,7 +52,7 @@
 def _statement(
     session: str, balance: TokenBalance, document: AllowanceDocument
 ) -> dict[str, object]:
-    """Return where an account's tokens are."""
+    """Return the log fields that state where an account's tokens are."""
     return {
         "session": session,
         "spent": balance.spent,
--- a/src/aspengate/gateway/prepaid/_witness.py
+++ b/src/aspengate/gateway/prepaid/_witness.py
@@ -1,4 +1,7 @@
-"""Has another router witness the most that this one's session may use of each account."""
+"""Makes another router witness the ceilings of this router's session.
+
+A ceiling is the maximum number of tokens of an account that the session may use.
+"""
 
 import threading
 from collections import OrderedDict
@@ -12,49 +15,52 @@
 from aspengate.peers import CeilingNotice, CeilingReply, Member
 from aspengate.telemetry import Counters, lasting_thread, log_change
 
-_REPEAT_MS = 30.0
-_LOST_MS = 400.0
-_AVOIDED_MS = 3_000.0
-_MOST_NOTICES = 64
-_ACCOUNTS_A_NOTICE = 500
+_REPEAT_INTERVAL_MS = 30.0
+_REPLY_TIMEOUT_MS = 400.0
+_AVOID_MS = 3_000.0
+_MAX_NOTICES = 64
+_MAX_ACCOUNTS_PER_NOTICE = 500
 
 OnAccepted = Callable[[str, Mapping[str, int]], None]
 
 
 class Witness(Protocol):
-    """Who is told this session's ceilings before they are used."""
+    """Interface of the witness, which accepts this session's ceilings before they are used."""
 
     def request_ceiling(self, account: str, ceiling: int) -> None:
-        """Have a higher ceiling accepted as soon as may be."""
+        """Request that the witness accept a higher ceiling, without waiting for it."""
 
     def ensure_ceiling(self, account: str, ceiling: int) -> tuple[str, int]:
-        """Wait shortly for a ceiling; return the witness's session with what it has accepted.
+        """Wait briefly for a ceiling; return the witness's session and the accepted ceiling.
 
-        The session is empty where there is no witness.
+        The session is empty if there is no witness or it did not accept in time.
         """
 
     def accepted_ceiling(self, account: str, witness: str) -> int:
-        """Return what ``witness`` has accepted, 0 where it is not the present witness."""
+        """Return the ceiling that ``witness`` accepted, 0 if it is not the current witness."""
 
     def close_session(self, session: str, witness: str) -> Mapping[str, int] | None:
-        """Return the final ceilings of a session of another run, None where they are unknown."""
+        """Return the final ceilings of another router's session, None if they are unknown."""
 
 
 class SessionList(Protocol):
-    """Which sessions run, as far as this router hears."""
+    """Interface for the state of other routers' sessions, as known to this router."""
 
     def is_superseded(self, session: str) -> bool:
-        """Return whether the session's router was heard in another run."""
+        """Return whether a message from another session of the same router has arrived."""
 
     def is_alive(self, session: str) -> bool:
-        """Return whether the session was heard of lately."""
+        """Return whether a message from the session arrived recently."""
 
     def has_restored(self, session: str, era: int) -> bool:
-        """Return whether the session says that the store's history ``era`` holds all it knows."""
+        """Return whether the session reported that the store's history ``era`` is complete.
+
+        That is, it contains everything that the session remembers.
+        """
 
 
 class NoWitness:
-    """Stands in where a router has no peers."""
+    """Implements ``Witness`` for a router without peers."""
 
     def request_ceiling(self, account: str, ceiling: int) -> None:
         """Do nothing."""
@@ -64,40 +70,40 @@
         return "", 0
 
     def accepted_ceiling(self, account: str, witness: str) -> int:
-        """Return that nothing was accepted."""
+        """Return 0: no ceiling is accepted."""
         return 0
 
     def close_session(self, session: str, witness: str) -> Mapping[str, int] | None:
-        """Return that nothing is known."""
+        """Return None: no ceilings are known."""
         return None
 
 
 @dataclass
-class _Bond:
-    """The present witness with what it has accepted, and what is still wanted of it."""
+class _Binding:
+    """Holds the current witness with the ceilings that it accepted and those requested."""
 
     member: Member
     begun_ms: float
     accepted: dict[str, int] = field(default_factory=dict)
-    wanted: dict[str, int] = field(default_factory=dict)
+    requested: dict[str, int] = field(default_factory=dict)
     notices: OrderedDict[int, dict[str, int]] = field(default_factory=OrderedDict)
 
-    def open_wants(self) -> dict[str, int]:
-        """Return what is wanted beyond what is accepted."""
+    def outstanding(self) -> dict[str, int]:
+        """Return the requested ceilings that are higher than the accepted ones."""
         return {
             account: ceiling
-            for account, ceiling in self.wanted.items()
+            for account, ceiling in self.requested.items()
             if ceiling > self.accepted.get(account, -1)
         }
 
 
 class RemoteWitness:
-    """Keeps one other router as witness, chosen among ``alive`` by hash so that load spreads.
+    """Keeps one other router as the witness, chosen from ``alive`` by hash to spread the load.
 
-    ``send`` sends a notice to an address; ``handle_reply`` is to be called with each answer.
-    ``on_accepted`` is called with a witness's session and the ceilings that it accepted, and
-    ``on_lost`` once a witness does not answer any more. ``ask_to_close`` asks a router by its
-    session to close another session.
+    ``send`` sends a notice to an address; pass each reply received to ``handle_reply``.
+    ``on_accepted`` is called with the witness's session and the ceilings that it accepted, and
+    ``on_lost`` when the witness has become unresponsive or refused. ``ask_to_close`` asks the
+    router with the session given first to close the session given second.
     """
 
     def __init__(
@@ -118,58 +124,58 @@
         self._alive = alive
         self._send = send
         self._ask_to_close = ask_to_close
-        self._bond: _Bond | None = None
+        self._binding: _Binding | None = None
         self._avoided: dict[str, float] = {}
         self._closed: dict[tuple[str, str], Mapping[str, int]] = {}
         self._number = 0
-        self._waiting_since: float | None = None
+        self._waiting_since_ms: float | None = None
         self._changed = threading.Condition()
         self._closing = False
         self._thread = lasting_thread(self._run, "witness", counters)
 
     def start(self) -> None:
-        """Begin to tell ceilings."""
+        """Start the thread that sends ceilings."""
         self._thread.start()
 
     def close(self) -> None:
-        """Stop."""
+        """Stop the thread."""
         with self._changed:
             self._closing = True
             self._changed.notify_all()
 
     def request_ceiling(self, account: str, ceiling: int) -> None:
-        """Have a higher ceiling accepted as soon as may be."""
+        """Request that the witness accept a higher ceiling, without waiting for it."""
         with self._changed:
-            bond = self._bonded()
-            if bond is None or ceiling <= bond.wanted.get(account, -1):
+            binding = self._bind()
+            if binding is None or ceiling <= binding.requested.get(account, -1):
                 return
-            bond.wanted[account] = ceiling
+            binding.requested[account] = ceiling
             self._changed.notify_all()
 
     def ensure_ceiling(self, account: str, ceiling: int) -> tuple[str, int]:
-        """Wait shortly for a ceiling; return the witness's session with what it has accepted."""
+        """Wait briefly for a ceiling; return the witness's session and the accepted ceiling."""
         self.request_ceiling(account, ceiling)
-        last = self._clock.monotonic_ms() + _LOST_MS
+        last = self._clock.monotonic_ms() + _REPLY_TIMEOUT_MS
         with self._changed:
             while True:
-                bond = self._bond
+                binding = self._binding
                 remaining = last - self._clock.monotonic_ms()
-                if bond is None or remaining <= 0:
+                if binding is None or remaining <= 0:
                     return "", 0
-                if bond.accepted.get(account, -1) >= ceiling:
-                    return bond.member.session, bond.accepted[account]
+                if binding.accepted.get(account, -1) >= ceiling:
+                    return binding.member.session, binding.accepted[account]
                 self._changed.wait(remaining / 1_000)
 
     def accepted_ceiling(self, account: str, witness: str) -> int:
-        """Return what ``witness`` has accepted, 0 where it is not the present witness."""
+        """Return the ceiling that ``witness`` accepted, 0 if it is not the current witness."""
         with self._changed:
-            bond = self._bond
-            if bond is None or bond.member.session != witness:
+            binding = self._binding
+            if binding is None or binding.member.session != witness:
                 return 0
-            return bond.accepted.get(account, 0)
+            return binding.accepted.get(account, 0)
 
     def close_session(self, session: str, witness: str) -> Mapping[str, int] | None:
-        """Return the final ceilings of a session of another run, None where they are unknown."""
+        """Return the final ceilings of another router's session, None if they are unknown."""
         found = self._closed.get((session, witness))
         if found is None:
             found = self._ask_to_close(witness, session)
@@ -179,34 +185,38 @@
         return found
 
     def handle_reply(self, reply: CeilingReply) -> None:
-        """Take a witness's answer."""
+        """Process a witness's reply."""
         with self._changed:
-            bond = self._bond
-            if bond is None or reply.session != self.session or reply.number not in bond.notices:
+            binding = self._binding
+            if (
+                binding is None
+                or reply.session != self.session
+                or reply.number not in binding.notices
+            ):
                 return
-            if not reply.accepted or reply.witness != bond.member.session:
-                self._lose(bond, "refused")
+            if not reply.accepted or reply.witness != binding.member.session:
+                self._drop_witness(binding, "refused")
                 accepted: dict[str, int] = {}
             else:
-                accepted = bond.notices.pop(reply.number)
-                self._waiting_since = None
+                accepted = binding.notices.pop(reply.number)
+                self._waiting_since_ms = None
                 for account, ceiling in accepted.items():
-                    bond.accepted[account] = max(ceiling, bond.accepted.get(account, ceiling))
+                    binding.accepted[account] = max(ceiling, binding.accepted.get(account, ceiling))
             self._changed.notify_all()
         if accepted:
-            self.on_accepted(bond.member.session, accepted)
+            self.on_accepted(binding.member.session, accepted)
         else:
             self.on_lost()
 
-    def _bonded(self) -> _Bond | None:
-        """Return the bond, a new one where there is none; call it with the lock held."""
-        if self._bond is None:
+    def _bind(self) -> _Binding | None:
+        """Return the current binding, or create one if there is none; requires the lock."""
+        if self._binding is None:
             member = self._choose()
             if member is not None:
-                self._bond = _Bond(member, self._clock.monotonic_ms())
-                self._waiting_since = None
+                self._binding = _Binding(member, self._clock.monotonic_ms())
+                self._waiting_since_ms = None
                 log_change("witness.chosen", witness=member.session, address=member.address)
-        return self._bond
+        return self._binding
 
     def _choose(self) -> Member | None:
         now = self._clock.monotonic_ms()
@@ -219,56 +229,58 @@
 
         return max(usable, key=weight, default=None)
 
-    def _lose(self, bond: _Bond, reason: str) -> None:
-        """Part with a witness; call it with the lock held."""
-        self._bond = None
-        self._waiting_since = None
-        self._avoided[bond.member.session] = self._clock.monotonic_ms() + _AVOIDED_MS
+    def _drop_witness(self, binding: _Binding, reason: str) -> None:
+        """Stop using a witness and avoid it for ``_AVOID_MS``; requires the lock."""
+        self._binding = None
+        self._waiting_since_ms = None
+        self._avoided[binding.member.session] = self._clock.monotonic_ms() + _AVOID_MS
         self._counters.count("witness.lost")
-        log_change("witness.lost", witness=bond.member.session, reason=reason)
+        log_change("witness.lost", witness=binding.member.session, reason=reason)
 
     def _run(self) -> None:
         while True:
             with self._changed:
                 if self._closing:
                     return
-                bond = self._bond
-                wants = bond.open_wants() if bond else {}
-                if bond is None or not wants:
+                binding = self._binding
+                outstanding = binding.outstanding() if binding else {}
+                if binding is None or not outstanding:
                     self._changed.wait()
                     continue
-                notice = self._notice(bond, wants)
+                notice = self._make_notice(binding, outstanding)
                 lost = notice is None
                 self._changed.notify_all()
             if notice is None:
                 self.on_lost()
             else:
-                self._send(notice, bond.member.address)
+                self._send(notice, binding.member.address)
             if not lost:
-                self._pause(wants)
+                self._wait_for_change(outstanding)
 
-    def _notice(self, bond: _Bond, wants: Mapping[str, int]) -> CeilingNotice | None:
-        """Return what to tell a witness; None where it is lost. Call it with the lock held."""
+    def _make_notice(
+        self, binding: _Binding, outstanding: Mapping[str, int]
+    ) -> CeilingNotice | None:
+        """Return the next notice, or None if the witness timed out; requires the lock."""
         now = self._clock.monotonic_ms()
-        if self._waiting_since is None:
-            self._waiting_since = now
-        if now - self._waiting_since > _LOST_MS:
-            self._lose(bond, "silent")
+        if self._waiting_since_ms is None:
+            self._waiting_since_ms = now
+        if now - self._waiting_since_ms > _REPLY_TIMEOUT_MS:
+            self._drop_witness(binding, "silent")
             return None
         self._number += 1
-        told = dict(list(wants.items())[:_ACCOUNTS_A_NOTICE])
-        bond.notices[self._number] = told
-        while len(bond.notices) > _MOST_NOTICES:
-            bond.notices.popitem(last=False)
-        return CeilingNotice(self._number, self.session, bond.member.session, told)
-
-    def _pause(self, told: Mapping[str, int]) -> None:
-        """Wait until something else is wanted, or until a notice is to be repeated."""
-        last = self._clock.monotonic_ms() + _REPEAT_MS
+        notified = dict(list(outstanding.items())[:_MAX_ACCOUNTS_PER_NOTICE])
+        binding.notices[self._number] = notified
+        while len(binding.notices) > _MAX_NOTICES:
+            binding.notices.popitem(last=False)
+        return CeilingNotice(self._number, self.session, binding.member.session, notified)
+
+    def _wait_for_change(self, notified: Mapping[str, int]) -> None:
+        """Wait until other ceilings are outstanding or the notice has to be repeated."""
+        last = self._clock.monotonic_ms() + _REPEAT_INTERVAL_MS
         with self._changed:
-            while not self._closing and self._bond is not None:
+            while not self._closing and self._binding is not None:
                 remaining = last - self._clock.monotonic_ms()
-                wants = self._bond.open_wants()
-                if remaining <= 0 or not wants or wants != told:
+                outstanding = self._binding.outstanding()
+                if remaining <= 0 or not outstanding or outstanding != notified:
                     return
                 self._changed.wait(remaining / 1_000)
--- a/src/aspengate/gateway/prepaid/_writer.py
+++ b/src/aspengate/gateway/prepaid/_writer.py
@@ -35,12 +35,12 @@
 )
 from aspengate.telemetry import Counters, log_change
 
-_SEEMS_DOWN_MS = 1_500.0
-_IS_DOWN_MS = 10_000.0
-_CLOSE_ATTEMPTS = 3
-_CLOSE_WAIT_S = 0.3
-_EXHAUSTED_MS = 400.0
-_IDLE_MS = 20_000.0
+_DOWN_AFTER_FAILURE_MS = 1_500.0
+_DOWN_WHILE_UNREACHABLE_MS = 10_000.0
+_MAX_CLOSE_ATTEMPTS = 3
+_CLOSE_WAIT_TIMEOUT_S = 0.3
+_EXHAUSTED_BACKOFF_MS = 400.0
+_IDLE_AFTER_MS = 20_000.0
 
 
 class DocumentWriter:
@@ -95,24 +95,25 @@
         self._failed_ms = float("-inf")
 
     def store_seems_down(self, now: float) -> bool:
-        """Return whether the store did not answer, and has not since.
+        """Return whether the store appears to be down, so that it should not be called.
 
-        Where nothing else reaches the store either, it is not asked before it answers that.
+        It does for some time after a failed call. If no other calls reach the store either, it does
+        until the store answers one of them.
         """
-        if not self._reaches_store() and now - self._store.answered_ms > _SEEMS_DOWN_MS:
+        if not self._reaches_store() and now - self._store.answered_ms > _DOWN_AFTER_FAILURE_MS:
             return True
         if self._store.answered_ms > self._failed_ms:
             return False
-        patience_ms = _SEEMS_DOWN_MS if self._reaches_store() else _IS_DOWN_MS
-        return now - self._failed_ms < patience_ms
+        down_ms = _DOWN_AFTER_FAILURE_MS if self._reaches_store() else _DOWN_WHILE_UNREACHABLE_MS
+        return now - self._failed_ms < down_ms
 
-    def allocation_state(self, account: Account, limit: int, own: int) -> AllocationState:
-        """Return how an account stands, where ``own`` unused tokens could be given back."""
+    def allocation_state(self, account: Account, limit: int, returnable: int) -> AllocationState:
+        """Return how the account is allocated if ``returnable`` unused tokens were returned."""
         document = account.document or AllowanceDocument()
         outage = self.outage_outlook()
         return AllocationState(
             limit=limit,
-            unallocated=limit - document.committed + own,
+            unallocated=limit - document.committed + returnable,
             routers=self.routers,
             share=self._share(account.name, document),
             lost_sessions=document.lost_sessions,
@@ -123,8 +124,8 @@
     def _share(self, name: str, document: AllowanceDocument) -> float:
         return 1.0 if self._is_primary(name) else document.share_of(self.session)
 
-    def work(self, account: Account) -> None:
-        """Write the account's document until nothing is left to do."""
+    def process(self, account: Account) -> None:
+        """Write the account's document until no change is left."""
         try:
             while self._step(account):
                 pass
@@ -134,9 +135,9 @@
             self._try_next_source(account)
 
     def raise_ceiling(self, account: Account, witness: str, ceiling: int) -> bool:
-        """Use a ceiling that a witness accepted; return whether the document names it.
+        """Apply a ceiling that a witness accepted; return whether the document names the witness.
 
-        Call it with the account's lock held.
+        Requires the account's lock.
         """
         if not account.listed or account.balance.ceiling is None:
             return False
@@ -145,35 +146,37 @@
         account.balance.ceiling = max(ceiling, account.balance.ceiling)
         return True
 
-    def settle_for_good(self, account: Account) -> None:
-        """Count what the session used of an account, and that it will use no more."""
+    def close_account(self, account: Account) -> None:
+        """Settle the tokens that the session used of an account, which it will not use any more."""
         with account.changed:
             account.balance.frozen = True
             account.try_next_source(borrowers=True)
-            account.changed.wait_for(lambda: not account.working, _CLOSE_WAIT_S)
-            account.working = True
+            account.changed.wait_for(lambda: not account.is_being_written, _CLOSE_WAIT_TIMEOUT_S)
+            account.is_being_written = True
         try:
             self._close(account)
         except AspengateError as error:
             log_change("allowance.not_closed", account=account.name, error=str(error))
 
     def _step(self, account: Account) -> bool:
-        """Make one call to the store, if one is needed; return whether to go on."""
+        """Make at most one change to the stored document; return whether to continue."""
         source = self._limit_of(account.name)
-        is_used = source is not None or account.is_unchecked
-        if account.balance.frozen or not is_used:
+        is_active = source is not None or account.is_unchecked
+        if account.balance.frozen or not is_active:
             self._try_next_source(account)
             return False
         try:
             self._refresh(account)
             if source is None or not self.restorer.may_grant(account):
-                return self._write_again(account)
-            document = self._without_dead(account.name, account.document or AllowanceDocument())
+                return self._write_restored(account)
+            document = self._without_dead_sessions(
+                account.name, account.document or AllowanceDocument()
+            )
             document = document.with_limit(source.limit, source.revision)
             source = replace(source, limit=document.limit)
             plan = self._plan(account, document, source)
             if plan is None:
-                if self._asks_holders(account):
+                if self._borrows_from_holders(account):
                     return False
                 log_exhausted(account, source.limit, self.session)
                 self._refuse(account)
@@ -193,8 +196,8 @@
             self._try_next_source(account)
             return False
 
-    def _write_again(self, account: Account) -> bool:
-        """Write what the store lost, without granting anything; return whether to try again."""
+    def _write_restored(self, account: Account) -> bool:
+        """Write what the store lost without granting tokens; return whether to continue."""
         document = account.document or AllowanceDocument()
         if not account.needs_restore:
             self._grant(account, document)
@@ -206,29 +209,29 @@
         self._try_next_source(account)
         return False
 
-    def _asks_holders(self, account: Account) -> bool:
-        """Return whether requests wait for what other sessions hold of a spent account."""
+    def _borrows_from_holders(self, account: Account) -> bool:
+        """Return whether requests wait for tokens that other sessions hold."""
         with account.changed:
             return self.borrow_from_holders(account, self._clock.monotonic_ms())
 
     def _refresh(self, account: Account) -> None:
-        """Read the document where it is not known, or is of before the store came back."""
+        """Read the document if it is unknown or from an earlier history of the store."""
         if account.revision and era_of(account.revision) < self._store.era.current:
             account.document = None
         if account.document is None:
             self._read(account)
 
     def _read(self, account: Account) -> None:
-        self._take(account, self._store.get(account.key))
+        self._load_item(account, self._store.get(account.key))
 
-    def _take(self, account: Account, item: StoreItem | None) -> None:
+    def _load_item(self, account: Account, item: StoreItem | None) -> None:
         document = decode_document(item.value) if item else AllowanceDocument()
         if document.is_undercounted:
             self._counters.count("allowances.undercounted")
             log_undercounted(account, document)
         era = self.restorer.era
         with account.changed:
-            restored, is_stored = self.restorer.compare(account, document, item)
+            restored, is_stored = self.restorer.reconcile(account, document, item)
             account.set_document(restored, item)
             account.is_copy = item is not None and document.era < era
             account.needs_restore = not is_stored
@@ -241,8 +244,8 @@
                 account.balance.rebase_after_close()
                 log_change("allowance.closed_elsewhere", account=account.name)
 
-    def _without_dead(self, name: str, document: AllowanceDocument) -> AllowanceDocument:
-        """Return the document with dead sessions settled, as far as their witnesses tell."""
+    def _without_dead_sessions(self, name: str, document: AllowanceDocument) -> AllowanceDocument:
+        """Return the document with dead sessions settled, if their ceilings are known."""
         for session, allowance in list(document.sessions.items()):
             witness = document.witness(session)
             if not witness or not self._is_dead(session, witness):
@@ -262,17 +265,17 @@
     def _plan(
         self, account: Account, document: AllowanceDocument, source: LimitSource
     ) -> AllowanceDocument | None:
-        """Return the document to write; None where requests wait and none of them fits.
+        """Return the document to write, or None if no waiting request fits into the limit.
 
-        An allowance that is to be lowered is lowered here before it is in the store.
+        An allowance that is to be lowered is lowered locally before it is written.
         """
         now = self._clock.monotonic_ms()
         with account.changed:
             balance = account.balance
-            fitting = self._fitting(account, document, source.limit)
+            fitting = self._fitting_tickets(account, document, source.limit)
             if account.waiting and not fitting:
                 return None
-            idle = not account.waiting and now - account.used_ms > _IDLE_MS
+            idle = not account.waiting and now - account.last_used_ms > _IDLE_AFTER_MS
             demand = balance.demand(sum(ticket.amount for ticket in fitting), now)
             is_primary = self._is_primary(account.name)
             target = balance.target(
@@ -289,21 +292,21 @@
             ceiling = min(
                 target, demand.committed + demand.waiting + self._sizing.ceiling_headroom(demand)
             )
-        witness = self._bind(account, max(0, ceiling))
+        witness = self._ensure_witness(account, max(0, ceiling))
         if self.session not in document.sessions:
-            is_same = target == 0
+            is_unchanged = target == 0
         else:
-            is_same = target == document.allowance(self.session)
-            is_same = is_same and witness == document.witness(self.session)
-        if is_same:
+            is_unchanged = target == document.allowance(self.session)
+            is_unchanged = is_unchanged and witness == document.witness(self.session)
+        if is_unchanged:
             return document
         return set_allowance(document, self.session, target, source.limit, witness)
 
-    def _bind(self, account: Account, ceiling: int) -> str:
-        """Have the present witness accept a ceiling; return its session, empty without one.
+    def _ensure_witness(self, account: Account, ceiling: int) -> str:
+        """Make the witness accept a ceiling; return its session, or an empty string.
 
-        From here on no more is used than both the witness that the document names and the
-        present one have accepted, until the store confirms which of them holds.
+        From here on, until the store confirms one of the two witnesses, usage is limited to what
+        both the witness named in the document and the current one have accepted.
         """
         witness, accepted = self._witness.ensure_ceiling(account.name, ceiling)
         with account.changed:
@@ -321,8 +324,10 @@
         again, accepted = self._witness.ensure_ceiling(account.name, max(0, committed))
         return again if again == witness else ""
 
-    def _fitting(self, account: Account, document: AllowanceDocument, limit: int) -> list[Ticket]:
-        """Return the waiting requests that fit, in the order in which they came."""
+    def _fitting_tickets(
+        self, account: Account, document: AllowanceDocument, limit: int
+    ) -> list[Ticket]:
+        """Return the waiting requests that fit into the limit, in the order of arrival."""
         most = document.max_allowance(self.session, limit)
         needed = account.balance.committed
         fitting = []
@@ -333,9 +338,9 @@
         return fitting
 
     def _write(self, account: Account, plan: AllowanceDocument) -> bool:
-        """Write the document; return whether it is done, False where another write came first.
+        """Write the document; return False if another write came first.
 
-        It is to be planned anew then: an allowance that was lowered for it is used no more.
+        The change then has to be planned again. An allowance that was lowered for it stays lowered.
         """
         key = account.key
         put = Put(key, encode_document(plan))
@@ -343,7 +348,7 @@
             revision = self.writes.write(put, account.revision, urgent=bool(account.waiting))
         except ConditionFailedError as failure:
             self._counters.count("allowances.conflicts")
-            self._take(account, failure.items.get(key))
+            self._load_item(account, failure.items.get(key))
             return False
         self._counters.count("allowances.writes")
         with account.changed:
@@ -351,19 +356,19 @@
             account.document = plan
             account.revision = revision
             account.record_stored(era_of(revision))
-        self._tell_raised(account, plan, revision)
+        self._announce_raise(account, plan, revision)
         self._grant(account, plan)
         return True
 
-    def _tell_raised(self, account: Account, document: AllowanceDocument, revision: int) -> None:
-        """Have some others remember a higher allowance, before any of it is used."""
+    def _announce_raise(self, account: Account, document: AllowanceDocument, revision: int) -> None:
+        """Announce a raised allowance to some other routers before any of it is used."""
         allowance = document.allowance(self.session)
         if allowance > account.balance.granted:
             witness = document.witness(self.session)
             self.announce_grant(Grant(account.name, self.session, allowance, revision, witness))
 
     def _grant(self, account: Account, document: AllowanceDocument) -> None:
-        """Use what the store confirmed."""
+        """Apply the allowance that the store confirmed."""
         target = document.allowance(self.session)
         witness = document.witness(self.session)
         accepted = self._witness.accepted_ceiling(account.name, witness) if witness else 0
@@ -382,12 +387,12 @@
         """Refuse the waiting requests, none of which the limit covers."""
         with account.changed:
             if account.waiting:
-                account.exhausted_until_ms = self._clock.monotonic_ms() + _EXHAUSTED_MS
+                account.exhausted_until_ms = self._clock.monotonic_ms() + _EXHAUSTED_BACKOFF_MS
                 account.exhausted_amount = min(ticket.amount for ticket in account.waiting)
             account.refuse_waiting(ErrorKind.BUDGET_EXHAUSTED)
 
     def _try_next_source(self, account: Account) -> None:
-        """Have requests look elsewhere, but for those that wait for the witness alone."""
+        """Make requests try their next source, except those that wait only for the witness."""
         with account.changed:
             balance = account.balance
             waits = self._witness.accepted_ceiling(account.name, account.named_witness)
@@ -395,7 +400,7 @@
             account.try_next_source(borrowers=True, held=max(0, held))
 
     def _close(self, account: Account) -> None:
-        for _ in range(_CLOSE_ATTEMPTS):
+        for _ in range(_MAX_CLOSE_ATTEMPTS):
             self._refresh(account)
             plan, revision = self._closing_plan(account)
             if plan == account.document:
@@ -405,14 +410,14 @@
                 self._store.transact({account.key: revision}, (put,))
                 return
             except ConditionFailedError as failure:
-                self._take(account, failure.items.get(account.key))
+                self._load_item(account, failure.items.get(account.key))
             except AspengateError as error:
                 if error.kind is not ErrorKind.OUTCOME_UNKNOWN:
                     raise
                 account.document = None
 
     def _closing_plan(self, account: Account) -> tuple[AllowanceDocument, int]:
-        """Return the document to write at the end, and the revision that it follows."""
+        """Return the document to write when the session ends, and the revision it replaces."""
         with account.changed:
             document = account.document or AllowanceDocument()
             balance = account.balance
