--- a/features/allowances.feature
+++ b/features/allowances.feature
@@ -1,96 +1,96 @@
-Feature: Allowances never add up to more than was prepaid
-
-  Scenario: No order of events overspends
-    Given routers that spend from one account through a store that loses answers
-    When any of these events come in any order
-    Then what all of them used or may still use never exceeds the limit
-    And nor does it in long histories of few kinds of faults
-    And what is known to be unused can be had again
-
-  Scenario: Nothing is overspent while the store comes back from copies of itself
-    Given routers that spend from one account through a store that comes back from copies
-    Then no history without deaths in the lost time overspends
-    And none overspends where one router dies in the lost time and its witness lives
-    And one overspends where nothing is written again
-
-  Scenario: A run that has just begun does not say that the store holds what the one before drew
-    Given a router that hears of the store's history for the first time
-    Then it says that the store holds all it knows a second later, and one that was there at once
-
-  Scenario Outline: Settling again after a lost answer counts nothing twice
+Feature: The sum of all allowances never exceeds the prepaid tokens
+
+  Scenario: No sequence of events leads to overspending
+    Given routers that spend from one account through a store that loses responses
+    When these events occur in any order
+    Then the tokens that all routers used or may still use never exceed the limit
+    And they do not exceed it in long histories with few kinds of faults either
+    And tokens that are known to be unused become available again
+
+  Scenario: Nothing is overspent when the store is restored from copies of itself
+    Given routers that spend from one account through a store that is restored from copies
+    Then no history overspends if no router dies in the lost period
+    And no history overspends if one router dies in the lost period and its witness survives
+    And some history overspends if nothing is written again
+
+  Scenario: A restarted router does not report at once that the store contains what its previous run drew
+    Given a router that sees the store's history for the first time
+    Then it reports the store as complete a second later, and one that ran before does so at once
+
+  Scenario Outline: A settlement repeated after a lost response is counted once
     Given a router that <got> tokens and did not use all of them
-    When it settles for good and the answer to that is lost
-    Then the document counts what was used, and no less
+    When it settles its accounts and the response is lost
+    Then the document counts at least the used tokens
 
     Examples:
       | got      |
       | drew     |
       | borrowed |
 
-  Scenario: A late write does not raise what was lowered
-    Given a router whose write without an answer is done later
-    When it lowers its allowance after that and another router takes the rest
-    Then the late write finds its condition broken
+  Scenario: A delayed write does not raise an allowance that was lowered
+    Given a router whose unanswered write takes effect later
+    When it then lowers its allowance and another router takes the rest
+    Then the condition of the delayed write fails
 
-  Scenario: Each protective rule of allowances is needed
-    When events come that a rule protects from, with the rule and without it
-    Then nothing breaks with the rules, and something does without each
+  Scenario: Each safety rule of allowances is necessary
+    When events that a rule protects against occur with and without the rule
+    Then nothing is overspent with the rules, and something is without each of them
 
-  Scenario: An account that is configured no more is written again as the others are
-    Given a router that drew tokens of an account which is configured no more
-    When the store comes back from a copy of before
-    Then the store holds what was drawn, and all routers say that it holds what they know
+  Scenario: An account removed from the configuration is written again like the others
+    Given a router that drew tokens of an account that was removed from the configuration
+    When the store is restored from an earlier copy
+    Then the store contains the drawn tokens, and all routers report it as complete
 
-  Scenario: Documents survive their stored form, and old sessions are folded
-    When any documents are written to their stored form and read again
-    Then they are as they were, and folding loses no committed token
+  Scenario: Documents survive encoding, and surplus old sessions are closed
+    When any documents are encoded and decoded
+    Then they are unchanged, and closing old sessions loses no committed token
 
-  Scenario: A router that has settled its accounts gives nothing more
-    Given a router whose draw from the store is answered late
-    When it settles for good before the answer comes, and is asked for tokens after it
-    Then it gives none, and takes none back
+  Scenario: A router that has settled its accounts lends nothing more
+    Given a router that receives a late response to its draw from the store
+    When it settles its accounts before the response arrives, and is then asked for tokens
+    Then it lends none, and accepts no repayment
 
-  Scenario: A limit that was cut binds those that have not heard of it
-    Given two routers that draw for themselves, and a limit that one of them heard was cut
-    When the one that has not heard draws as much as it may
-    Then both together hold no more than the lower limit
+  Scenario: A reduced limit binds routers that have not yet received it
+    Given two routers that draw for themselves, one of which received a reduced limit
+    When the other router draws as much as it can
+    Then both together hold at most the reduced limit
 
-  Scenario: A loan that asks for less than nothing is refused
+  Scenario: A request for a negative loan is refused
     Given a router that drew tokens
     When another router asks it for a negative amount
-    Then it refuses, and holds what it held
+    Then it refuses, and its balance is unchanged
 
-  Scenario: A request that is covered by now asks nobody for tokens
+  Scenario: A request that has become covered triggers no loan
     Given a router whose small request waits behind a large one
-    When the large one is given up and the router looks for tokens again
-    Then the small one is granted, and no loan of less than nothing was asked for
+    When the large request is abandoned and the router requests tokens again
+    Then the small request is granted, and no negative loan was requested
 
-  Scenario: A reserve is there for the time when the store is away
-    Given a router that drew a reserve, and a store that went away
-    When a call to the store has failed and requests go on
-    Then all that the router holds is used, as far as its witness hears of it
+  Scenario: The reserve is available while the store is down
+    Given a router that drew a reserve, and a store that is down
+    When a call to the store has failed and requests continue
+    Then all tokens that the router holds can be used, and its witness accepted them
 
-  Scenario: A router that lost sight of its document looks at it again
-    Given a router that drew a reserve, and a store that went away
-    When the store is back and another router asks for a loan ahead of its needs
-    Then the router knows its document again
+  Scenario: A router that discarded its document reads it again
+    Given a router that drew a reserve, and a store that is down
+    When the store is back and another router requests a loan for its reserve
+    Then the router has read its document again
 
-  Scenario: A failed call to the store refuses nothing that the router holds
-    Given a router that drew a reserve, and a store that went away
+  Scenario: A failed call to the store does not refuse requests that held tokens cover
+    Given a router that drew a reserve, and a store that is down
     When borrowers wait for its witness while a call to the store fails
-    Then those that it holds tokens for go on waiting, and the others are refused
-
-  Scenario: A router that is not the primary gets nothing on behalf of one that stocks up
-    Given two routers that take each other for the primary
-    When one of them stocks up
-    Then no more than one loan is asked for
-
-  Scenario: An allowance that is lowered is lowered in the store, also where another write comes first
-    Given a primary router that holds a reserve, and hands its part over to another one
-    When another session writes the account's document just before it does
-    Then the document allows it no more than it uses any more
-
-  Scenario: What another session holds of a spent account is asked for before a request is refused
-    Given a router that holds most of an account, and is not its primary any more
-    When the new primary is asked for more than nobody holds
-    Then it serves the request with what the first one holds, and overspends nothing
+    Then borrowers covered by held tokens keep waiting, and the others are refused
+
+  Scenario: A router that is not the primary does not borrow to fill another router's reserve
+    Given two routers that each consider the other the primary
+    When one of them requests tokens ahead of its needs
+    Then exactly one loan is requested
+
+  Scenario: A lowered allowance is also lowered in the store if another write comes first
+    Given a primary router that holds a reserve, and is replaced as the primary
+    When another session writes the account's document just before it
+    Then the document contains the lowered allowance
+
+  Scenario: Tokens held by other sessions are borrowed before a request is refused as exhausted
+    Given a router that holds most of an account, and is no longer its primary
+    When the new primary is asked for more than the unallocated tokens
+    Then it serves the request with the first router's tokens, and overspends nothing
--- a/features/steps/allowance_steps.py
+++ b/features/steps/allowance_steps.py
@@ -1,4 +1,4 @@
-"""Steps on allowances: any order of events, and the rules that each of them needs."""
+"""Steps on allowances: arbitrary sequences of events, and the rules that prevent overspending."""
 
 import msgspec
 from behave import given, then, when
@@ -57,24 +57,24 @@
 
 
 def histories(kind):
-    """Return histories with many events of one kind, a few of others, and a hungry end.
+    """Return histories with many events of one kind and few others, then reservations of the rest.
 
-    A history drawn from all kinds alike seldom holds the two or three events of one fault.
+    A history drawn evenly from all kinds rarely contains the two or three events of one fault.
     """
     usual = [EVENTS_BY_KIND["reserve"], EVENTS_BY_KIND["finish"], EVENTS_BY_KIND[kind]]
     any_other = st.sampled_from(OPTIONAL_KINDS).flatmap(EVENTS_BY_KIND.__getitem__)
     events = st.lists(st.one_of(*usual, any_other), min_size=12, max_size=50)
-    return events.map(lambda drawn: [*drawn, *TAKING_ALL_THAT_IS_LEFT])
+    return events.map(lambda drawn: [*drawn, *RESERVING_ALL_THAT_IS_LEFT])
 
 
-TAKING_ALL_THAT_IS_LEFT = [
+RESERVING_ALL_THAT_IS_LEFT = [
     ("down", False),
     ("late write",),
     *[("reserve", number, amount) for amount in (2_000, 500, 100, 20) for number in (0, 1, 2) * 6],
 ]
 
 
-def play(world, event):
+def apply_event(world, event):
     name, *values = event
     if name == "reserve":
         world.reserve(*values)
@@ -85,19 +85,19 @@
     elif name == "lose":
         world.store.next_write = values[0]
     elif name == "late write":
-        world.store.do_late_write()
+        world.store.apply_delayed_write()
     elif name == "down":
         world.store.down = values[0]
     elif name == "loan":
         world.loans[values[0]].next = values[1]
     elif name == "repeat":
-        world.repeat()
+        world.repeat_messages()
     elif name == "primary":
         world.primary = values[0]
     elif name == "limit":
         world.set_limit(*values)
     elif name == "hear":
-        world.hear(*values)
+        world.receive_limit(*values)
     elif name == "time":
         world.clock.advance(*values)
     elif name == "tick":
@@ -105,11 +105,11 @@
     elif name == "witness":
         world.witnesses[values[0]].next = values[1]
     elif name == "close silent":
-        world.close_silent(*values)
+        world.close_unresponsive(*values)
     elif name == "top up":
         world.set_limit(world.store.limit + values[0])
         for number in range(len(world.accounts)):
-            world.hear(number)
+            world.receive_limit(number)
     elif name == "stop":
         number, share, how = values
         while world.running[number]:
@@ -126,21 +126,23 @@
 
 
 def overspends(events, world=None, **rules):
-    """Return whether some of the events let more be used than the highest limit."""
+    """Return whether some prefix of the events uses more than the highest limit, or undercounts."""
     world = world or World(LIMIT, **rules)
-    for event in [*events, *(TAKING_ALL_THAT_IS_LEFT if not events else ())]:
-        play(world, event)
-        if world.most_used > world.highest or world.is_undercounted:
+    for event in [*events, *(RESERVING_ALL_THAT_IS_LEFT if not events else ())]:
+        apply_event(world, event)
+        if world.max_used > world.highest_limit or world.is_undercounted:
             return True
     return False
 
 
-DEATHS = ("restart", "stop", "close silent")
+ROUTER_ENDS = ("restart", "stop", "close silent")
 ANY_EVENTS = st.lists(
     st.sampled_from(sorted(EVENTS_BY_KIND)).flatmap(EVENTS_BY_KIND.__getitem__), max_size=20
 )
 LOST_EVENTS = st.lists(
-    st.sampled_from(sorted(set(EVENTS_BY_KIND) - set(DEATHS))).flatmap(EVENTS_BY_KIND.__getitem__),
+    st.sampled_from(sorted(set(EVENTS_BY_KIND) - set(ROUTER_ENDS))).flatmap(
+        EVENTS_BY_KIND.__getitem__
+    ),
     max_size=20,
 )
 RESTORED_HISTORIES = st.lists(
@@ -148,10 +150,10 @@
 )
 
 
-def overspends_restored(history, dies=None, **rules):
-    """Return whether some history in which the store comes back from copies overspends.
+def overspends_restored(history, dying=None, **rules):
+    """Return whether a history in which the store is restored from copies overspends.
 
-    The router ``dies`` does so each time after what is lost.
+    The router ``dying`` restarts after each lost period.
     """
     world = World(LIMIT, **rules)
     for before, lost, order in history:
@@ -160,19 +162,19 @@
         earlier = world.store.copy()
         if lost and overspends(lost, world):
             return True
-        if dies is not None:
-            world.restart(dies)
-        world.come_back(earlier, order)
-    return overspends(TAKING_ALL_THAT_IS_LEFT, world)
+        if dying is not None:
+            world.restart(dying)
+        world.restore_from_copy(earlier, order)
+    return overspends(RESERVING_ALL_THAT_IS_LEFT, world)
 
 
-@given("routers that spend from one account through a store that comes back from copies")
+@given("routers that spend from one account through a store that is restored from copies")
 def restored_routers(context):
     context.rules = {}
 
 
-@then("no history without deaths in the lost time overspends")
-def no_restored_overspend(context):
+@then("no history overspends if no router dies in the lost period")
+def no_overspend_without_deaths(context):
     @settings(max_examples=300)
     @given_any(RESTORED_HISTORIES)
     def check(history):
@@ -181,47 +183,47 @@
     check()
 
 
-@then("none overspends where one router dies in the lost time and its witness lives")
+@then("no history overspends if one router dies in the lost period and its witness survives")
 def no_overspend_with_death(context):
     @settings(max_examples=300)
     @given_any(RESTORED_HISTORIES, ROUTER)
-    def check(history, dies):
-        assert not overspends_restored(history, dies)
+    def check(history, dying):
+        assert not overspends_restored(history, dying)
 
     check()
 
 
-@given("a router that hears of the store's history for the first time")
-def first_heard(context):
+@given("a router that sees the store's history for the first time")
+def first_history_seen(context):
     context.world = World(LIMIT)
     context.world.accounts[0].restore(store_restored=False)
     context.world.accounts[1].restore(store_restored=True)
 
 
-@then("it says that the store holds all it knows a second later, and one that was there at once")
-def says_later(context):
+@then("it reports the store as complete a second later, and one that ran before does so at once")
+def reports_later(context):
     started, was_there, _ = context.world.accounts
     assert (started.restored_era, was_there.restored_era) == (0, 1)
     context.world.clock.advance(1_000.0)
     assert started.restored_era == 1
 
 
-@given("a router that drew tokens of an account which is configured no more")
-def configured_no_more(context):
+@given("a router that drew tokens of an account that was removed from the configuration")
+def removed_from_configuration(context):
     context.world = world = World(LIMIT)
     context.earlier = world.store.copy()
     assert world.reserve(0, 4_000)
     for number in range(len(world.accounts)):
-        world.known[number] = None
+        world.known_limits[number] = None
 
 
-@when("the store comes back from a copy of before")
-def back_from_before(context):
-    context.world.come_back(context.earlier, (0, 1, 2))
+@when("the store is restored from an earlier copy")
+def restored_from_earlier_copy(context):
+    context.world.restore_from_copy(context.earlier, (0, 1, 2))
 
 
-@then("the store holds what was drawn, and all routers say that it holds what they know")
-def holds_drawn(context):
+@then("the store contains the drawn tokens, and all routers report it as complete")
+def contains_drawn_tokens(context):
     world = context.world
     document = decode_document(world.store.items[KEY].value)
     assert document.allowance(world.session_of(0)) >= 4_000, document
@@ -229,28 +231,28 @@
 
 
 def nothing_restored(self, *, store_restored):
-    """Write nothing again."""
+    """Replace ``TokenAccounts.restore`` by a method that writes nothing again."""
 
 
-@then("one overspends where nothing is written again")
-def overspends_without(context):
+@then("some history overspends if nothing is written again")
+def overspends_without_restoration(context):
     lost = [("reserve", 0, 4_000), ("primary", 1), ("reserve", 1, 4_000), ("primary", 2)]
     history = [([], lost, (0, 1, 2)), ([("reserve", 2, 9_000)], [], (0, 1, 2))]
     assert not overspends_restored(history)
     assert overspends_restored(history, restore=nothing_restored)
 
 
-@given("routers that spend from one account through a store that loses answers")
+@given("routers that spend from one account through a store that loses responses")
 def routers(context):
     context.world = World(LIMIT)
 
 
-@when("any of these events come in any order")
+@when("these events occur in any order")
 def any_events(context):
     pass
 
 
-@then("what all of them used or may still use never exceeds the limit")
+@then("the tokens that all routers used or may still use never exceed the limit")
 def never_exceeds(context):
     @settings(max_examples=400)
     @given_any(st.lists(EVENT, max_size=40))
@@ -260,7 +262,7 @@
     check()
 
 
-@then("nor does it in long histories of few kinds of faults")
+@then("they do not exceed it in long histories with few kinds of faults either")
 def never_exceeds_in_long_histories(context):
     for kind in OPTIONAL_KINDS:
 
@@ -272,14 +274,14 @@
         check()
 
 
-@then("what is known to be unused can be had again")
-def can_be_had_again(context):
+@then("tokens that are known to be unused become available again")
+def becomes_available_again(context):
     @settings(max_examples=100)
     @given_any(st.lists(st.tuples(st.just("reserve"), ROUTER, AMOUNT), max_size=20))
     def check(events):
         world = World(LIMIT)
         for event in events:
-            play(world, event)
+            apply_event(world, event)
         for number in range(3):
             while world.running[number]:
                 world.finish(number, 0.1)
@@ -291,15 +293,15 @@
     check()
 
 
-@given("a router whose write without an answer is done later")
+@given("a router whose unanswered write takes effect later")
 def late_write(context):
     context.world = World(LIMIT)
     context.world.store.next_write = "late"
     context.granted = context.world.reserve(0, 3_000)
 
 
-@when("it lowers its allowance after that and another router takes the rest")
-def lowers(context):
+@when("it then lowers its allowance and another router takes the rest")
+def lowers_allowance(context):
     world = context.world
     world.finish(0, 0.0)
     world.accounts[0].close()
@@ -307,22 +309,22 @@
     context.rest = world.reserve(1, LIMIT)
 
 
-@then("the late write finds its condition broken")
+@then("the condition of the delayed write fails")
 def condition_broken(context):
     assert context.granted and context.rest
-    assert context.world.store.do_late_write() is False
-    assert context.world.most_used == LIMIT
+    assert context.world.store.apply_delayed_write() is False
+    assert context.world.max_used == LIMIT
 
 
-@when("events come that a rule protects from, with the rule and without it")
-def with_and_without(context):
+@when("events that a rule protects against occur with and without the rule")
+def with_and_without_rule(context):
     context.results = {}
 
-    def believe_after_loss(self, account):
+    def trust_document_after_loss(self, account):
         account.uncertain = False
         return type(self)._step(self, account)
 
-    def grant_before_answer(self, account, plan):
+    def grant_before_response(self, account, plan):
         account.balance.granted = max(account.balance.granted, plan.allowance(self.session))
         return type(self)._write(self, account, plan)
 
@@ -336,7 +338,7 @@
             entry.closed = False
         return type(self).accept(self, session, ceilings, now_ms)
 
-    def count_each_repayment(self, account, payment):
+    def count_repeated_repayments(self, account, payment):
         self._repaid.clear()
         return type(self).handle_repayment(self, account, payment)
 
@@ -360,11 +362,16 @@
         ("reserve", 1, 8_000),
     ]
     spending = [("reserve", 0, 1_000), ("reserve", 0, 500)]
-    going_on = [("reserve", 0, 500), ("reserve", 0, 100)] * 10
+    continuing = [("reserve", 0, 500), ("reserve", 0, 100)] * 10
     steady = [("reserve", 0, 50), ("time", 200)] * 40
-    beyond_ceiling = [*steady, ("restart", 0), *TAKING_ALL_THAT_IS_LEFT]
-    closed_goes_on = [*spending, ("close silent", 0), *going_on, *TAKING_ALL_THAT_IS_LEFT]
-    paid_back = [
+    beyond_ceiling = [*steady, ("restart", 0), *RESERVING_ALL_THAT_IS_LEFT]
+    closed_session_continues = [
+        *spending,
+        ("close silent", 0),
+        *continuing,
+        *RESERVING_ALL_THAT_IS_LEFT,
+    ]
+    repaid_twice = [
         ("reserve", 1, 1_000),
         ("reserve", 1, 4_000),
         ("finish", 1, 0.0),
@@ -376,34 +383,38 @@
         ("reserve", 0, 1_500),
     ]
     cases = {
-        "a repayment counts once": (paid_back, "handle_repayment", count_each_repayment),
+        "a repayment counts once": (repaid_twice, "handle_repayment", count_repeated_repayments),
         "no use beyond the ceiling": (beyond_ceiling, "_grant", grant_beyond_ceiling),
-        "a closed session's ceilings are final": (closed_goes_on, "accept", accept_closed),
-        "another write before a document is believed": (
+        "a closed session's ceilings are final": (
+            closed_session_continues,
+            "accept",
+            accept_closed,
+        ),
+        "another write before a document is trusted": (
             late_lowering,
             "_step",
-            believe_after_loss,
+            trust_document_after_loss,
         ),
-        "granted only after the answer": (lost_raise, "_write", grant_before_answer),
+        "granted only after the response": (lost_raise, "_write", grant_before_response),
     }
     for rule, (events, method, broken) in cases.items():
         context.results[rule] = (overspends(events), overspends(events, **{method: broken}))
 
 
-@then("nothing breaks with the rules, and something does without each")
-def each_is_needed(context):
+@then("nothing is overspent with the rules, and something is without each of them")
+def each_rule_is_needed(context):
     for rule, (with_rule, without) in context.results.items():
         assert not with_rule, rule
-        assert without, f"nothing broke without: {rule}"
+        assert without, f"nothing was overspent without the rule: {rule}"
 
 
-@when("any documents are written to their stored form and read again")
-def stored_form(context):
+@when("any documents are encoded and decoded")
+def encoded_and_decoded(context):
     pass
 
 
-@then("they are as they were, and folding loses no committed token")
-def as_they_were(context):
+@then("they are unchanged, and closing old sessions loses no committed token")
+def unchanged_documents(context):
     names = st.text(st.characters(codec="utf-8", exclude_characters="\x00"), min_size=1, max_size=9)
     documents = st.builds(
         AllowanceDocument,
@@ -426,24 +437,24 @@
 
     check()
     sessions = {f"r.{n}": n for n in range(300)}
-    many = AllowanceDocument(
+    document = AllowanceDocument(
         sessions=sessions, witnesses=dict.fromkeys(sessions, "w.1"), limit=9, limit_revision=4
     )
-    folded = set_allowance(many, "r.new", 5, 10**9)
-    assert folded.committed == many.committed + 5 and len(folded.sessions) <= 200
-    assert set(folded.witnesses) <= set(folded.sessions)
+    closed = set_allowance(document, "r.new", 5, 10**9)
+    assert closed.committed == document.committed + 5 and len(closed.sessions) <= 200
+    assert set(closed.witnesses) <= set(closed.sessions)
     try:
         decode_document(b"\xff not a document")
     except AspengateError as error:
         assert error.kind.value == "internal"
     else:
-        raise AssertionError("garbage was read")
-    assert msgspec.json.decode(encode_document(many)) == {
+        raise AssertionError("an invalid document was decoded")
+    assert msgspec.json.decode(encode_document(document)) == {
         "limit": 9,
         "limit_revision": 4,
         "closed": 0,
-        "sessions": many.sessions,
-        "witnesses": many.witnesses,
+        "sessions": document.sessions,
+        "witnesses": document.witnesses,
         "ended": {},
         "spent": 0,
         "era": 0,
@@ -461,14 +472,14 @@
     world.finish(context.number, 0.3)
 
 
-@when("it settles for good and the answer to that is lost")
+@when("it settles its accounts and the response is lost")
 def settlement_lost(context):
     context.world.store.next_write = "lost"
     context.world.accounts[context.number].close()
     context.world.restart(context.number)
 
 
-@then("the document counts what was used, and no less")
+@then("the document counts at least the used tokens")
 def counts_what_was_used(context):
     world = context.world
     document = decode_document(world.store.items[KEY].value)
@@ -476,15 +487,15 @@
     assert not overspends([], world=world)
 
 
-@given("a router whose draw from the store is answered late")
-def answered_late(context):
+@given("a router that receives a late response to its draw from the store")
+def late_response(context):
     context.world = World(LIMIT)
     context.router = context.world.accounts[0]
     assert context.world.reserve(0, 1_000)
     context.world.finish(0, 1.0)
 
 
-@when("it settles for good before the answer comes, and is asked for tokens after it")
+@when("it settles its accounts before the response arrives, and is then asked for tokens")
 def settles_before(context):
     world = context.world
     world.store.on_written = lambda: context.router.close(timeout_ms=1)
@@ -495,8 +506,8 @@
     context.router.handle_loan_request(later, context.replies.append)
 
 
-@then("it gives none, and takes none back")
-def gives_none(context):
+@then("it lends none, and accepts no repayment")
+def lends_none(context):
     world = context.world
     document = decode_document(world.store.items[KEY].value)
     given = sum(reply.given for reply in context.replies)
@@ -506,24 +517,24 @@
     assert not context.router.handle_repayment(payment)
 
 
-@given("two routers that draw for themselves, and a limit that one of them heard was cut")
-def heard_of_cut(context):
+@given("two routers that draw for themselves, one of which received a reduced limit")
+def received_reduced_limit(context):
     context.world = world = World(LIMIT)
     assert world.reserve(0, 1_000)
     world.primary = 1
     world.set_limit(4_000)
-    world.hear(1)
+    world.receive_limit(1)
     assert world.reserve(1, 500)
 
 
-@when("the one that has not heard draws as much as it may")
-def not_heard(context):
+@when("the other router draws as much as it can")
+def other_router_draws(context):
     world = context.world
     world.primary = 0
     context.drawn = sum(world.reserve(0, 250) for _ in range(40))
 
 
-@then("both together hold no more than the lower limit")
-def lower_limit(context):
+@then("both together hold at most the reduced limit")
+def within_reduced_limit(context):
     assert context.drawn
-    assert context.world.most_used <= 4_000, context.world.most_used
+    assert context.world.max_used <= 4_000, context.world.max_used
--- a/features/steps/allowance_world.py
+++ b/features/steps/allowance_world.py
@@ -1,4 +1,4 @@
-"""Routers' token accounts against a store in memory that loses and delays answers."""
+"""A fleet of token accounts with an in-memory store that loses and delays responses."""
 
 from concurrent.futures import Executor, Future
 
@@ -14,14 +14,14 @@
 ACCOUNT = ClientAccount("board", ("key",), 0, 0)
 KEY = ALLOWANCE_PREFIX + "board"
 LIMIT_KEY = "limits"
-SETTLE_MS = 5_000.0
+RESTORE_PERIOD_MS = 5_000.0
 
 
 class InlineExecutor(Executor):
-    """Runs what is submitted at once, on the same thread."""
+    """Runs submitted functions immediately on the calling thread."""
 
     def shutdown(self, *_, **__):
-        """Go on as before."""
+        """Do nothing, so that functions can still be submitted."""
 
     def submit(self, function, /, *arguments, **named):
         future = Future()
@@ -30,7 +30,7 @@
 
 
 class Waiter:
-    """Waits on behalf of nobody; a wait that would block ends the request's time."""
+    """Waits for no caller; its deadline has passed, so that no wait blocks."""
 
     def __init__(self, clock):
         self.clock = clock
@@ -41,7 +41,7 @@
 
 
 class DelayingStore:
-    """Keeps items; writes may be lost, or be done later while their conditions hold."""
+    """Keeps items; writes may be lost, or be applied later if their conditions still hold."""
 
     def __init__(self, limit):
         self.items = {LIMIT_KEY: StoreItem(LIMIT_KEY, b"%d" % limit, 1)}
@@ -52,7 +52,7 @@
         self.down = False
         self.on_written = lambda: None
         self.next_write = "done"
-        self.late = []
+        self.delayed = []
 
     @property
     def limit(self):
@@ -69,11 +69,11 @@
     def copy(self):
         return dict(self.items), self.revision
 
-    def come_back(self, earlier):
-        """Hold what a copy holds, in a new history; the operator writes the limit again."""
+    def restore_from_copy(self, earlier):
+        """Replace the contents by a copy's, in a new history; the limit is written again."""
         limit = self.limit
         self.items, self.revision = dict(earlier[0]), earlier[1]
-        self.late.clear()
+        self.delayed.clear()
         self.era.note(self.era.current + 1)
         self.set_limit(limit)
 
@@ -93,7 +93,7 @@
         if how == "late, then down":
             how, self.down = "late", True
         if how == "late":
-            self.late.append((dict(conditions), puts))
+            self.delayed.append((dict(conditions), puts))
         if how in ("late", "never"):
             raise AspengateError(ErrorKind.OUTCOME_UNKNOWN, "lost")
         revision = self._apply(conditions, puts)
@@ -103,10 +103,10 @@
             raise AspengateError(ErrorKind.OUTCOME_UNKNOWN, "lost")
         return revision
 
-    def do_late_write(self):
-        if self.late:
+    def apply_delayed_write(self):
+        if self.delayed:
             try:
-                self._apply(*self.late.pop(0))
+                self._apply(*self.delayed.pop(0))
             except ConditionFailedError:
                 return False
             return True
@@ -130,44 +130,46 @@
 
 
 class WorldWitness:
-    """Has the next router witness; what is told or answered may get lost."""
+    """Uses the next router as the witness; notices and replies may be lost."""
 
     def __init__(self, world, number, session):
         self.world = world
         self.number = number
         self.session = session
-        self.bond = None
+        self.witness_session = None
         self.known = {}
         self.next = "told"
 
     def request_ceiling(self, account, ceiling):
-        """Tell a ceiling at once; the session hears whether it was accepted, or does not."""
-        if self.bond is None:
-            self.bond = self.world.session_of(self.number + 1)
+        """Send a ceiling immediately; the reply may be lost."""
+        if self.witness_session is None:
+            self.witness_session = self.world.session_of(self.number + 1)
             self.known = {}
         how, self.next = self.next, "told"
-        lives = self.world.session_of(self.number + 1) == self.bond
+        is_current = self.world.session_of(self.number + 1) == self.witness_session
         if how == "lost":
             return
         registry = self.world.accounts[(self.number + 1) % len(self.world.accounts)].ceilings
-        accepted = lives and registry.accept(self.session, {account: ceiling}, self._now())
+        accepted = is_current and registry.accept(self.session, {account: ceiling}, self._now())
         if how == "answer lost":
             return
         if not accepted:
-            self.bond = None
+            self.witness_session = None
             return
         self.known[account] = max(ceiling, self.known.get(account, ceiling))
-        self.world.accounts[self.number].handle_accepted_ceilings(self.bond, {account: ceiling})
+        self.world.accounts[self.number].handle_accepted_ceilings(
+            self.witness_session, {account: ceiling}
+        )
 
     def ensure_ceiling(self, account, ceiling):
-        if self.bond is None or self.known.get(account, -1) < ceiling:
+        if self.witness_session is None or self.known.get(account, -1) < ceiling:
             self.request_ceiling(account, ceiling)
-        if self.bond is None or self.known.get(account, -1) < ceiling:
+        if self.witness_session is None or self.known.get(account, -1) < ceiling:
             return "", 0
-        return self.bond, self.known[account]
+        return self.witness_session, self.known[account]
 
     def accepted_ceiling(self, account, witness):
-        return self.known.get(account, 0) if witness == self.bond else 0
+        return self.known.get(account, 0) if witness == self.witness_session else 0
 
     def close_session(self, session, witness):
         for number, accounts in enumerate(self.world.accounts):
@@ -180,7 +182,7 @@
 
 
 class WorldLoans:
-    """Borrows from the others at once; requests, answers and repayments may get lost."""
+    """Borrows from the other routers at once; requests, replies and repayments may be lost."""
 
     def __init__(self, world, number, session):
         self.world = world
@@ -231,7 +233,7 @@
         how, self.next = self.next, "told"
         if how != "lost":
             self.world.repayments.append((lender, payment))
-            self.world.pay(lender, payment)
+            self.world.deliver_repayment(lender, payment)
         return True
 
     def _ask(self, lender, account, needed, extra, held_only=False):
@@ -252,40 +254,40 @@
 
 
 class World:
-    """Some routers, what they truly used, and what runs."""
+    """Runs some routers and tracks the tokens that their requests really used."""
 
     def __init__(self, limit, routers=3, **rules):
         self.clock = ManualClock()
         self.store = DelayingStore(limit)
-        self.highest = limit
+        self.highest_limit = limit
         self.used = 0
         self.primary = 0
         self.requests = []
         self.repayments = []
         self.loans = [None] * routers
         self.rules = rules
-        self.lives = 0
+        self.restarts = 0
         self.accounts = []
         self.sessions = [""] * routers
         self.witnesses = [None] * routers
-        self.known = []
+        self.known_limits = []
         self.running = []
         for number in range(routers):
             self.accounts.append(None)
-            self.known.append((limit, 1))
+            self.known_limits.append((limit, 1))
             self.running.append([])
             self.restart(number)
 
     def restart(self, number):
-        """A router dies: what ran may have used its most; a new life begins."""
+        """Kill a router and start a new session; its running requests count with their maximum."""
         self.used += sum(self.running[number])
         self.running[number] = []
-        self.lives += 1
-        session = f"router-{number}.{self.lives}"
+        self.restarts += 1
+        session = f"router-{number}.{self.restarts}"
         self.sessions[number] = session
         self.witnesses[number] = WorldWitness(self, number, session)
         self.loans[number] = WorldLoans(self, number, session)
-        self.known[number] = (self.store.limit, self.store.limit_revision)
+        self.known_limits[number] = (self.store.limit, self.store.limit_revision)
         self.accounts[number] = TokenAccounts(
             session=session,
             store=self.store,
@@ -320,7 +322,7 @@
         return False
 
     def sweep(self, number):
-        """Sessions of odd number write at once what can wait, the others with their ticks."""
+        """Make sessions with an odd number write deferred changes now, not with their ticks."""
         accounts = self.accounts[number]
         if int(accounts.session.rpartition(".")[2]) % 2:
             accounts.supply.sweep()
@@ -342,43 +344,43 @@
             self.used += used
             self.accounts[number].settle(ACCOUNT, amount, used)
 
-    def close_silent(self, number):
-        """The witness of a router that still runs takes it for gone."""
+    def close_unresponsive(self, number):
+        """Make the witness of a router that still runs consider it gone."""
         session = self.session_of(number)
         self.accounts[(number + 1) % len(self.accounts)]._close_unresponsive(session, ("board",))
 
-    def come_back(self, earlier, order):
-        """The store comes back from a copy; routers hear of it in some order, soon."""
+    def restore_from_copy(self, earlier, order):
+        """Restore the store from a copy, and notify the routers in the given order."""
         self.store.down = False
         self.store.next_write = "done"
-        self.store.come_back(earlier)
+        self.store.restore_from_copy(earlier)
         for number in order:
             self.accounts[number].restore(store_restored=True)
-        self.clock.advance(SETTLE_MS)
+        self.clock.advance(RESTORE_PERIOD_MS)
 
-    def pay(self, lender, payment):
-        """A repayment arrives, at the life of a router that it is meant for."""
+    def deliver_repayment(self, lender, payment):
+        """Deliver a repayment if its lender's session is still the current one."""
         if self.session_of(lender) == payment.lender:
             self.accounts[lender].handle_repayment(payment)
 
-    def repeat(self):
-        """Messages that arrived once arrive again."""
+    def repeat_messages(self):
+        """Deliver the most recent messages once more."""
         for lender, request in self.requests[-3:]:
             self.accounts[lender].handle_loan_request(request, lambda _: None)
         for lender, payment in self.repayments[-3:]:
-            self.pay(lender, payment)
+            self.deliver_repayment(lender, payment)
 
     def set_limit(self, limit):
-        self.highest = max(self.highest, limit)
+        self.highest_limit = max(self.highest_limit, limit)
         self.store.set_limit(limit)
 
-    def hear(self, number):
-        """A router hears of the present limit."""
-        self.known[number] = (self.store.limit, self.store.limit_revision)
+    def receive_limit(self, number):
+        """Make a router receive the current limit."""
+        self.known_limits[number] = (self.store.limit, self.store.limit_revision)
         self.accounts[number].limits_changed()
 
     @property
-    def most_used(self):
+    def max_used(self):
         return self.used + sum(sum(amounts) for amounts in self.running)
 
     @property
@@ -387,5 +389,5 @@
         return item is not None and decode_document(item.value).is_undercounted
 
     def _limit_of(self, number):
-        known = self.known[number]
+        known = self.known_limits[number]
         return LimitSource(*known) if known is not None else None
--- a/features/steps/gateway_prepaid_steps.py
+++ b/features/steps/gateway_prepaid_steps.py
@@ -1,4 +1,4 @@
-"""Steps on prepaid tokens: what replicas gave is held against what was paid for."""
+"""Steps on prepaid tokens: compares the tokens that replicas produced with the prepaid ones."""
 
 import itertools
 
@@ -9,9 +9,9 @@
 from gateway_world import REPEATS, start
 
 EVENTS = 10
-EVENT_TOKENS = 3
-PROMPT = 1_000
-MOST_OUTPUT = 500
+TOKENS_PER_EVENT = 3
+PROMPT_TOKENS = 1_000
+MAX_OUTPUT_TOKENS = 500
 _paths = itertools.count()
 
 
@@ -26,19 +26,19 @@
     context.prepaid = prepaid
 
 
-def ask(router):
-    tokens = (PROMPT, MOST_OUTPUT)
+def send_request(router):
+    tokens = (PROMPT_TOKENS, MAX_OUTPUT_TOKENS)
     return router.call().request(
         "POST", f"/score/{next(_paths)}", body=b"x", tokens=tokens, deadline_ms=10_000
     )
 
 
-def spend(routers, most=200):
+def spend(routers, maximum=200):
     """Send requests in turn until each router refuses three times in a row."""
     served, refusals = 0, dict.fromkeys(routers, 0)
     statuses = []
-    for router in itertools.islice(itertools.cycle(routers), most):
-        status = ask(router).status
+    for router in itertools.islice(itertools.cycle(routers), maximum):
+        status = send_request(router).status
         statuses.append(status)
         if status == 200:
             served += 1
@@ -50,32 +50,32 @@
     return served, statuses
 
 
-def given_tokens(context):
-    """Return what the engines gave: a prompt for each request, and each event's tokens."""
+def produced_tokens(context):
+    """Return the tokens of all requests that engines ran: their prompts and events."""
     runs = sum(sum(replica.runs.values()) for replica in context.fleet.of("engine"))
-    return runs * (PROMPT + EVENTS * EVENT_TOKENS)
+    return runs * (PROMPT_TOKENS + EVENTS * TOKENS_PER_EVENT)
 
 
-@when("requests of 1500 tokens at most are sent through both until they are refused")
+@when("requests of up to 1500 tokens are sent through both until they are refused")
 def until_refused(context):
     context.served, context.statuses = spend(context.fleet.routers)
 
 
-@then("{least:d} were served, and the refusals say 402")
-def served_count(context, least):
-    # A request that has ended counts 1030 tokens, one that begins 1500: as long as 1500 are
-    # left the next one fits, which is after 18 of 20000. Three per cent may stay unused.
-    assert context.served >= least, context.statuses
+@then("{minimum:d} were served, and the refusals have status 402")
+def served_count(context, minimum):
+    # A finished request counts 1030 tokens and a starting one 1500. As long as 1500 are left, the
+    # next one fits: 20000 tokens allow 18 requests. Three per cent may stay unused.
+    assert context.served >= minimum, context.statuses
     assert context.statuses[-1] == 402, context.statuses
 
 
-@then("the replicas never gave more than was prepaid")
-def never_more(context):
-    assert given_tokens(context) <= context.prepaid, given_tokens(context)
+@then("the replicas never produced more tokens than were prepaid")
+def never_more_than_prepaid(context):
+    assert produced_tokens(context) <= context.prepaid, produced_tokens(context)
 
 
 @when("the tokens are used and the operator raises them to {prepaid:d}")
-def raised(context, prepaid):
+def limit_raised(context, prepaid):
     spend(context.fleet.routers)
     context.fleet.operator.set_prepaid("board", prepaid)
     context.prepaid = prepaid
@@ -83,15 +83,15 @@
 
 @then("requests are served again")
 def served_again(context):
-    assert eventually(lambda: ask(context.fleet.routers[0]).status == 200)
-    never_more(context)
+    assert eventually(lambda: send_request(context.fleet.routers[0]).status == 200)
+    never_more_than_prepaid(context)
 
 
-@when("some requests are served and the operator cuts the tokens to what is used")
-def cut_down(context):
+@when("some requests are served and the operator reduces the tokens to those used")
+def limit_reduced(context):
     for router in context.fleet.routers * 3:
-        assert ask(router).status == 200
-    version = context.fleet.operator.set_prepaid("board", given_tokens(context))
+        assert send_request(router).status == 200
+    version = context.fleet.operator.set_prepaid("board", produced_tokens(context))
     for router in context.fleet.routers:
         assert eventually(lambda r=router: r.find("configuration.applied", version=version))
 
@@ -99,14 +99,14 @@
 @then("further requests are refused with 402")
 def refused_402(context):
     for router in context.fleet.routers:
-        assert eventually(lambda r=router: ask(r).status == 402)
+        assert eventually(lambda r=router: send_request(r).status == 402)
 
 
-@when("the first one is killed after some requests and the second spends until it is refused")
+@when("the first is killed after some requests and the second spends until it is refused")
 def killed(context):
     first, second = context.fleet.routers
     for _ in range(4):
-        assert ask(first).status == 200
+        assert send_request(first).status == 200
     first.kill()
     context.served, context.statuses = spend([second])
     assert context.statuses[-1] == 402, context.statuses
@@ -117,7 +117,7 @@
     first, _ = context.fleet.routers
     context.killed_requests = 0
     while not any(granted["granted"] - granted["committed"] >= held for granted in grants(first)):
-        assert ask(first).status == 200
+        assert send_request(first).status == 200
         context.killed_requests += 1
     assert eventually(lambda: grants(first)[-1]["witness"]), grants(first)
     first.kill()
@@ -129,7 +129,7 @@
 
 
 def grants(router):
-    """Return what the store granted a router, as its log tells."""
+    """Return the log lines of a router about allowances that the store granted it."""
     return [
         line
         for line in list(router.lines)
@@ -142,48 +142,48 @@
     context.served, context.statuses = spend(context.fleet.routers)
 
 
-def counted_beyond(context):
-    """Return what the killed run is counted for beyond what it used."""
+def counted_beyond_use(context):
+    """Return the tokens counted for the killed run beyond those it used."""
     reclaimed = [
         line["amount"]
         for router in context.fleet.routers
         for line in router.find_all("allowance.reclaimed", session=context.killed)
     ]
-    # The witness's ceiling, of all that was granted; nothing else was closed.
+    # Only one session was closed, with its witness's ceiling instead of its whole allowance.
     assert len(reclaimed) == 1, reclaimed
-    used = context.killed_requests * (PROMPT + EVENTS * EVENT_TOKENS)
+    used = context.killed_requests * (PROMPT_TOKENS + EVENTS * TOKENS_PER_EVENT)
     closed = max(line["closed"] for router in context.fleet.routers for line in grants(router))
     return closed - used
 
 
-@then("the killed run counts for what it used, one request, and what its witness was told ahead")
-def ahead_at_most(context):
-    # As fast as can be, which is the highest rate of demand: all its requests at one moment.
+@then("the killed run counts for what it used, one request, and its ceiling headroom")
+def within_headroom(context):
+    # All requests at the same moment produce the highest possible rate of demand.
     balance = TokenBalance(AllowanceSizing())
     balance.granted = context.prepaid
     for _ in range(context.killed_requests):
-        balance.reserve(PROMPT + MOST_OUTPUT, 0.0)
+        balance.reserve(PROMPT_TOKENS + MAX_OUTPUT_TOKENS, 0.0)
     ahead = balance.sizing.ceiling_headroom(balance.demand(0, 0.0))
-    in_progress = MOST_OUTPUT - EVENTS * EVENT_TOKENS
-    beyond = counted_beyond(context)
+    in_progress = MAX_OUTPUT_TOKENS - EVENTS * TOKENS_PER_EVENT
+    beyond = counted_beyond_use(context)
     assert 0 <= beyond <= ahead + in_progress, (beyond, ahead, context.killed_requests)
 
 
-@then("of the rest no more than {most:d} tokens are left unused")
-def left_unused(context, most):
-    left = context.prepaid - given_tokens(context) - counted_beyond(context)
-    assert left <= most, (given_tokens(context), left)
+@then("of the rest, no more than {maximum:d} tokens are left unused")
+def left_unused(context, maximum):
+    left = context.prepaid - produced_tokens(context) - counted_beyond_use(context)
+    assert left <= maximum, (produced_tokens(context), left)
 
 
-@when("the store turns the first one away and it is sent more requests than it holds tokens for")
+@when("the store rejects the first and it is sent more requests than it holds tokens for")
 def sent_more_than_held(context):
     first, second = context.fleet.routers
-    assert ask(first).status == 200
+    assert send_request(first).status == 200
     assert eventually(lambda: second.find("member.heard", name=first.name))
     first.door.fault = "busy"
     assert eventually(lambda: first.find("store.lost"))
     held = grants(first)[-1]["granted"]
-    context.statuses = [ask(first).status for _ in range(2 * held // PROMPT)]
+    context.statuses = [send_request(first).status for _ in range(2 * held // PROMPT_TOKENS)]
 
 
 @then("all of them were served")
@@ -194,7 +194,7 @@
 @when("both have served some requests and the store goes down for both")
 def store_down(context):
     for router in context.fleet.routers * 4:
-        assert ask(router).status == 200
+        assert send_request(router).status == 200
     for router in context.fleet.routers:
         router.door.fault = "busy"
 
@@ -202,17 +202,17 @@
 @then("requests through either are served")
 def served_while_down(context):
     for router in context.fleet.routers * 4:
-        assert ask(router).status == 200
+        assert send_request(router).status == 200
 
 
-@when('the store loses the answers of writes, which are done "{when}", while requests are sent')
-def lost_answers(context, when):
+@when('the store loses responses of writes, which take effect "{when}", while requests are sent')
+def lost_responses(context, when):
     for router in context.fleet.routers:
         router.door.lose_writes = 3
         router.door.late_s = 1.0 if when == "later" else 0.0
-    context.served, context.statuses = spend(context.fleet.routers, most=120)
+    context.served, context.statuses = spend(context.fleet.routers, maximum=120)
 
 
-@then("at least {least:d} requests were served in the end")
-def at_least_served(context, least):
-    assert context.served >= least, context.statuses
+@then("at least {minimum:d} requests were served in the end")
+def at_least_served(context, minimum):
+    assert context.served >= minimum, context.statuses
--- a/features/steps/reserve_steps.py
+++ b/features/steps/reserve_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what a router holds: loans, the reserve while the store is away, requests that wait."""
+"""Steps on loans, on the reserve while the store is down, and on waiting requests."""
 
 from behave import given, then, when
 
@@ -25,8 +25,8 @@
     context.world.accounts[0].handle_loan_request(loan, context.replies.append)
 
 
-@then("it refuses, and holds what it held")
-def holds_what_it_held(context):
+@then("it refuses, and its balance is unchanged")
+def balance_unchanged(context):
     balance = context.world.accounts[0].account("board").balance
     assert (balance.committed, balance.lent, balance.reserved) == context.before
     (reply,) = context.replies
@@ -43,8 +43,8 @@
         account.waiting += [Ticket(5_000), Ticket(500)]
 
 
-@when("the large one is given up and the router looks for tokens again")
-def looks_again(context):
+@when("the large request is abandoned and the router requests tokens again")
+def requests_again(context):
     account = context.account
     context.large, context.small = account.waiting
     with account.changed:
@@ -53,14 +53,14 @@
         context.world.accounts[1].supply.request_tokens(account, context.world.clock.monotonic_ms())
 
 
-@then("the small one is granted, and no loan of less than nothing was asked for")
-def small_one_granted(context):
+@then("the small request is granted, and no negative loan was requested")
+def small_request_granted(context):
     assert context.small.granted
     asked = [request.needed for _, request in context.world.requests]
     assert all(needed >= 0 for needed in asked), asked
 
 
-@given("a router that drew a reserve, and a store that went away")
+@given("a router that drew a reserve, and a store that is down")
 def drew_a_reserve(context):
     context.world = world = World(100_000)
     for _ in range(20):
@@ -72,22 +72,22 @@
     world.store.down = True
 
 
-@when("a call to the store has failed and requests go on")
-def requests_go_on(context):
+@when("a call to the store has failed and requests continue")
+def requests_continue(context):
     context.held = context.account.balance.held
     context.granted = sum(context.world.reserve(0, 100) for _ in range(context.held // 100 + 10))
     assert context.account.document is None
 
 
-@then("all that the router holds is used, as far as its witness hears of it")
-def all_is_used(context):
+@then("all tokens that the router holds can be used, and its witness accepted them")
+def all_held_tokens_used(context):
     assert context.granted == context.held // 100, (context.granted, context.held)
     registry = context.world.accounts[1].ceilings
     session = context.world.session_of(0)
     assert registry.close(session)["board"] >= context.account.balance.committed
 
 
-@when("the store is back and another router asks for a loan ahead of its needs")
+@when("the store is back and another router requests a loan for its reserve")
 def back_and_asked(context):
     world = context.world
     while context.account.document is not None:
@@ -100,8 +100,8 @@
     world.accounts[0].tick()
 
 
-@then("the router knows its document again")
-def knows_again(context):
+@then("the router has read its document again")
+def read_again(context):
     assert context.account.document is not None
 
 
@@ -117,16 +117,16 @@
     writer.process(account)
 
 
-@then("those that it holds tokens for go on waiting, and the others are refused")
-def go_on_waiting(context):
+@then("borrowers covered by held tokens keep waiting, and the others are refused")
+def covered_keep_waiting(context):
     first, second, third = context.tickets
     assert not first.decided and not third.decided
     assert second.refused is not None
     assert context.account.waiting == [first, third]
 
 
-@given("two routers that take each other for the primary")
-def take_each_other(context):
+@given("two routers that each consider the other the primary")
+def two_primaries(context):
     context.world = world = World(LIMIT)
     for number in (1, 2):
         assert world.reserve(number, 500)
@@ -144,22 +144,22 @@
     context.before = len(world.requests)
 
 
-@when("one of them stocks up")
-def stocks_up(context):
+@when("one of them requests tokens ahead of its needs")
+def requests_ahead(context):
     world = context.world
     account = world.accounts[1].account("board")
     with account.changed:
         world.accounts[1].supply.prefetch(account, world.clock.monotonic_ms())
 
 
-@then("no more than one loan is asked for")
+@then("exactly one loan is requested")
 def one_loan(context):
     asked = len(context.world.requests) - context.before
     assert asked == 1, asked
 
 
-@given("a primary router that holds a reserve, and hands its part over to another one")
-@given("a router that holds most of an account, and is not its primary any more")
+@given("a primary router that holds a reserve, and is replaced as the primary")
+@given("a router that holds most of an account, and is no longer its primary")
 def handed_over(context):
     world = context.world = World(100_000, routers=2)
     for _ in range(12):
@@ -170,13 +170,13 @@
     world.primary = 1
 
 
-@when("another session writes the account's document just before it does")
-def another_before(context):
+@when("another session writes the account's document just before it")
+def another_write_first(context):
     store = context.world.store
     transact = store.transact
     session = "router-9.1"
 
-    def late(conditions, puts):
+    def write_first(conditions, puts):
         store.transact = transact
         item = store.get(KEY)
         document = decode_document(item.value)
@@ -184,13 +184,13 @@
         transact({KEY: item.revision}, (Put(KEY, encode_document(other)),))
         return transact(conditions, puts)
 
-    store.transact = late
+    store.transact = write_first
     context.world.clock.advance(1_000)
     context.world.accounts[0].tick()
 
 
-@then("the document allows it no more than it uses any more")
-def allows_no_more(context):
+@then("the document contains the lowered allowance")
+def contains_lowered_allowance(context):
     world = context.world
     balance = world.accounts[0].account("board").balance
     document = decode_document(world.store.get(KEY).value)
@@ -199,23 +199,23 @@
     assert balance.held < 10_000, balance.held
 
 
-@when("the new primary is asked for more than nobody holds")
+@when("the new primary is asked for more than the unallocated tokens")
 def asked_for_more(context):
     world = context.world
     held = world.accounts[0].account("board").balance.held
-    while left_to(world, 1) >= held:
+    while available_to(world, 1) >= held:
         assert world.reserve(1, 5_000)
     context.served = world.reserve(1, held)
 
 
-def left_to(world, number):
-    """Return what a router could use without any other one's help."""
+def available_to(world, number):
+    """Return the tokens that a router could use without borrowing."""
     document = decode_document(world.store.get(KEY).value)
     balance = world.accounts[number].account("board").balance
     return document.limit - document.committed + max(0, balance.held)
 
 
-@then("it serves the request with what the first one holds, and overspends nothing")
-def serves_it(context):
+@then("it serves the request with the first router's tokens, and overspends nothing")
+def served_with_held_tokens(context):
     assert context.served
-    assert context.world.most_used <= context.world.highest
+    assert context.world.max_used <= context.world.highest_limit
--- a/features/steps/restored_store_steps.py
+++ b/features/steps/restored_store_steps.py
@@ -15,7 +15,7 @@
 from aspengate.explanation import read_lines, tell_story
 from aspengate.platform import PlatformStore
 from crashes_steps import ask as ask_once
-from gateway_prepaid_steps import EVENTS, ask, given_tokens, spend
+from gateway_prepaid_steps import EVENTS, produced_tokens, send_request, spend
 from gateway_world import REPEATS, start
 
 # How long the store is away, and how long its writers then take to write again, in s.
@@ -309,7 +309,7 @@
     killed = context.fleet.routers[0]
     earlier = context.fleet.store.copy()
     for _ in range(4):
-        assert ask(killed).status == 200
+        assert send_request(killed).status == 200
     killed.kill()
     context.fleet.store.come_back_from(earlier)
     context.living = context.fleet.routers[1:]
@@ -322,7 +322,7 @@
 
 @then("no more was given than was prepaid")
 def no_more_given(context):
-    given = given_tokens(context)
+    given = produced_tokens(context)
     assert given <= context.prepaid, given
 
 
--- a/features/steps/witness_steps.py
+++ b/features/steps/witness_steps.py
@@ -58,8 +58,8 @@
     assert eventually(lambda: len(context.notices) >= 2)
 
 
-@then("the ceiling counts once a repeated notice is answered")
-def counts_once_answered(context):
+@then("the ceiling counts as soon as a repeated notice is answered")
+def counts_when_answered(context):
     assert context.accepted == {} and context.witness.accepted_ceiling("board", "b.1") == 0
     notice, address = context.notices[-1]
     assert (notice.witness, notice.ceilings, address) == ("b.1", {"board": 500}, "10.0.0.2:1")
@@ -69,31 +69,31 @@
     assert context.witness.ensure_ceiling("board", 400) == ("b.1", 500)
 
 
-@when("the peer answers in another life")
-def another_life(context):
+@when("the peer answers with another session")
+def another_session(context):
     context.witness.request_ceiling("board", 500)
     assert eventually(lambda: context.notices)
     notice, _ = context.notices[0]
     context.witness.handle_reply(CeilingReply(notice.number, "a.1", "b.2", False))
 
 
-@then("the router has no ceiling, and knows that it lost its witness")
+@then("the router has no ceiling, and is notified of the lost witness")
 def lost_witness(context):
     assert context.lost.is_set()
     assert context.accepted == {} and context.witness.accepted_ceiling("board", "b.1") == 0
     assert context.witness.ensure_ceiling("board", 10) == ("", 0)
 
 
-@when("the one that it chose does not answer")
-def no_answer(context):
+@when("the chosen peer does not answer")
+def chosen_does_not_answer(context):
     context.witness.request_ceiling("board", 500)
     assert context.lost.wait(60)
     context.first = {notice.witness for notice, _ in context.notices}
     context.notices.clear()
 
 
-@then("the other one becomes its witness")
-def other_one(context):
+@then("the other peer becomes its witness")
+def other_peer_chosen(context):
     context.witness.request_ceiling("board", 500)
     assert eventually(lambda: context.notices)
     notice, _ = context.notices[0]
@@ -102,41 +102,41 @@
     assert context.witness.ensure_ceiling("board", 500) == (notice.witness, 500)
 
 
-@given("a book that holds a session's ceilings")
-def a_book(context):
+@given("a registry that holds a session's ceilings")
+def registry_with_ceilings(context):
     context.registry = CeilingRegistry(capacity=2)
     assert context.registry.accept("a.1", {"board": 500}, 0.0)
     assert context.registry.accept("a.1", {"board": 300, "other": 7}, 1.0)
 
 
 @when("the session is closed")
-def closed(context):
+def session_closed(context):
     context.ceilings = context.registry.close("a.1")
 
 
-@then("no more is accepted from it, and its ceilings stay as they were")
-def final(context):
+@then("no more ceilings are accepted from it, and its ceilings are unchanged")
+def ceilings_final(context):
     assert context.ceilings == {"board": 500, "other": 7}
     assert not context.registry.accept("a.1", {"board": 900}, 2.0)
     assert context.registry.close("a.1") == context.ceilings
     assert context.registry.is_closed("a.1") and context.registry.close("x.1") is None
 
 
-@then("a book that is full takes no new session")
-def full(context):
+@then("a full registry accepts no new session")
+def registry_full(context):
     assert context.registry.accept("d.1", {"board": 1}, 2.0)
     assert not context.registry.accept("e.1", {"board": 1}, 2.0)
     assert context.registry.unresponsive(3.0) == {"d.1": ("board",)}
 
 
-@given("a port for datagrams whose handler fails on the first message")
+@given("a datagram port whose handler fails on the first message")
 def failing_handler(context):
     context.handled = []
 
     def handle(message, address):
         context.handled.append(message)
         if len(context.handled) == 1:
-            raise RuntimeError("the first one")
+            raise RuntimeError("the first message fails")
 
     context.port = DatagramPort("127.0.0.1:0", NullCounters(), handle)
     context.port.start()
@@ -152,12 +152,12 @@
     sender.send(RepaymentReply(2, "a.1"), context.port.address)
 
 
-@then("the second one is handled")
+@then("the second message is handled")
 def second_handled(context):
     assert eventually(lambda: [message.number for message in context.handled] == [1, 2])
 
 
-@given("a gateway that the store does not answer")
+@given("a gateway whose store does not respond")
 def gateway_without_store(context):
     fleet = Fleet(context.cleanup)
     door = fleet.store.open_door()
@@ -166,7 +166,7 @@
     context.router = fleet.add_router(ready=False, door=door)
 
 
-@when("a peer asks it for tokens and tells it ceilings")
+@when("a peer asks it for tokens and sends it ceilings")
 def peer_asks(context):
     replies = context.replies = {}
     peer = DatagramPort(
@@ -179,15 +179,15 @@
     peer.send(CeilingNotice(1, "a.1", session, {"board": 5}), context.router.peer_address)
 
 
-@then("it answers that it has none, and accepts the ceilings")
-def answers_none(context):
+@then("it refuses the loan, and accepts the ceilings")
+def refuses_loan(context):
     assert eventually(lambda: len(context.replies) == 2), context.router.lines
     assert context.replies[LoanReply].given == 0 and context.replies[LoanReply].refused
     assert context.replies[CeilingReply].accepted
 
 
 class OnePrimary:
-    """Peers of which one draws all accounts' tokens."""
+    """A list of peers of which one is the primary of all accounts."""
 
     def primary(self, account, suspects, *, own_reaches):
         return PEERS[0]
@@ -217,13 +217,13 @@
     assert context.loans.borrow_from_primary("board", amount, 0)
 
 
-@when("the primary has served it, and all answers are lost until the request was given up")
-def answers_lost(context):
+@when("the primary has served it, and all replies are lost until the request times out")
+def replies_lost(context):
     assert eventually(lambda: any(message.repeats for message in list(context.sent)))
 
 
-@then("the router asks what became of it, and takes the tokens once")
-def takes_once(context):
+@then("the router queries the outcome, and receives the tokens once")
+def receives_tokens_once(context):
     asked = next(message for message in list(context.sent) if message.repeats)
     reply = LoanReply(asked.number, "a.1", "board", 500)
     context.loans.handle_reply(reply)
@@ -238,15 +238,15 @@
     context.replies = []
 
 
-@when("a router asks it what became of a request that it never got, which then arrives")
-def asks_of_unknown(context):
+@when("a router queries the outcome of a request that only arrives afterwards")
+def query_before_request(context):
     accounts = context.world.accounts[0]
     for repeats in (True, False):
         request = LoanRequest(7, "router-1.2", "board", 100, 0, False, repeats)
         accounts.handle_loan_request(request, context.replies.append)
 
 
-@then("the lender gives nothing")
-def gives_nothing(context):
+@then("the lender lends nothing")
+def lends_nothing(context):
     assert [reply.given for reply in context.replies] == [0, 0], context.replies
     assert all(reply.refused for reply in context.replies), context.replies
