--- a/src/aspengate/gateway/prepaid/_accounts.py
+++ b/src/aspengate/gateway/prepaid/_accounts.py
@@ -332,11 +332,11 @@
 
     def _check_documents(self, names: set[str]) -> None:
         """Schedule checks of the named accounts and of those that dead sessions used."""
-        recalled = self.restorer.accounts_to_recover()
-        for account in map(self.account, names | recalled):
+        recoverable = self.restorer.accounts_to_recover()
+        for account in map(self.account, names | recoverable):
             with account.changed:
                 account.document = None
-                account.recovers_others = account.name in recalled
+                account.recovers_others = account.name in recoverable
                 account.is_unchecked = True
                 if account.is_being_written:
                     self.supply.schedule_later(account)
