--- a/src/aspengate/allowances/_balance.py
+++ b/src/aspengate/allowances/_balance.py
@@ -192,4 +192,4 @@
 def _check_amount(amount: int) -> None:
     """Raise INTERNAL if an amount is negative, which would reverse the direction of a transfer."""
     if amount < 0:
-        raise AspengateError(ErrorKind.INTERNAL, f"number of tokens is negative: {amount}")
+        raise AspengateError(ErrorKind.INTERNAL, f"a negative amount of tokens: {amount}")
