--- a/src/aspengate/allowances/__init__.py
+++ b/src/aspengate/allowances/__init__.py
@@ -1,8 +1,10 @@
-"""Prepaid tokens: what the store grants to each router's session, and what that session used.
+"""Accounting of prepaid tokens: the tokens granted to each router's session and those it used.
 
-The modules here decide and hold state; they call no store, and take the time as a parameter.
+The modules of this package hold state and make decisions. They do not call the store, and they
+receive the current time as a parameter.
 """
 
+from aspengate.allowances._balance import TokenBalance
 from aspengate.allowances._document import (
     AllowanceDocument,
     close_session,
@@ -13,22 +15,21 @@
     session_name,
     set_allowance,
 )
-from aspengate.allowances._purse import Purse
 from aspengate.allowances._restoration import (
     adopt_document,
     restore_document,
     restore_sessions,
 )
-from aspengate.allowances._sizing import AllowanceSizing, Demand, Holding
-from aspengate.allowances._witness import WitnessBook
+from aspengate.allowances._sizing import AllocationState, AllowanceSizing, Demand
+from aspengate.allowances._witness import CeilingRegistry
 
 __all__ = [
+    "AllocationState",
     "AllowanceDocument",
     "AllowanceSizing",
+    "CeilingRegistry",
     "Demand",
-    "Holding",
-    "Purse",
-    "WitnessBook",
+    "TokenBalance",
     "adopt_document",
     "close_session",
     "decode_document",
