--- a/features/steps/allowance_world.py
+++ b/features/steps/allowance_world.py
@@ -47,8 +47,8 @@
         self.items = {LIMIT_KEY: StoreItem(LIMIT_KEY, b"%d" % limit, 1)}
         self.revision = 1
         self.era = StoreEra()
-        self.era.note(1)
-        self.answered_ms = 0.0
+        self.era.record(1)
+        self.last_answer_ms = 0.0
         self.down = False
         self.on_written = lambda: None
         self.next_write = "done"
@@ -74,7 +74,7 @@
         limit = self.limit
         self.items, self.revision = dict(earlier[0]), earlier[1]
         self.late.clear()
-        self.era.note(self.era.current + 1)
+        self.era.record(self.era.current + 1)
         self.set_limit(limit)
 
     def _stamped(self, key):
--- a/features/steps/grouped_writes_steps.py
+++ b/features/steps/grouped_writes_steps.py
@@ -69,7 +69,7 @@
         except (AspengateError, TypeError) as error:
             return error
         finally:
-            writes.arrived()
+            writes.finish_expected()
 
     with ThreadPoolExecutor(count) as pool:
         context.results = list(pool.map(write, range(count)))
--- a/features/steps/leadership_steps.py
+++ b/features/steps/leadership_steps.py
@@ -6,7 +6,7 @@
 
 from aspengate.clock import ManualClock, SystemClock
 from aspengate.peers import DatagramPort, DomainLeadership, Member, MemberList
-from aspengate.store import Changes, Removal, Snapshot, Stance, StoreEra, StoreItem, StoreMirror
+from aspengate.store import Changes, MirrorMode, Removal, Snapshot, StoreEra, StoreItem, StoreMirror
 from aspengate.telemetry import NullCounters
 from gateway_world import start
 
@@ -29,14 +29,14 @@
 
     @property
     def connected(self):
-        return self.proven or self.leadership.stance is Stance.TOLD
+        return self.proven or self.leadership.stance is MirrorMode.TOLD
 
     def look(self):
         before = self.leadership.stance
         self.leadership.look(connected=self.proven)
-        if self.leadership.stance is not Stance.FOLLOWING:
+        if self.leadership.stance is not MirrorMode.FOLLOWING:
             self.proven = False
-        elif before is not Stance.FOLLOWING or not self.proven:
+        elif before is not MirrorMode.FOLLOWING or not self.proven:
             self.asked += 1
             self.proven = self.reaches
         elif not self.reaches:
@@ -119,7 +119,7 @@
     fleet = context.routers
     for domain in fleet.domains:
         assert len(fleet.leaders(domain)) == 1, (domain, fleet.leaders(domain))
-    resting = [each for each in fleet.routers if each.leadership.stance is Stance.TOLD]
+    resting = [each for each in fleet.routers if each.leadership.stance is MirrorMode.TOLD]
     assert len(resting) == len(fleet.routers) - len(fleet.domains)
 
 
@@ -229,16 +229,16 @@
     context.mirror = StoreMirror(
         None, "a/", SystemClock(), NullCounters(), context.changes.append, 20_000
     )
-    context.mirror.offer(Snapshot((item("a/1", 4), item("a/2", 9)), 10, 10))
+    context.mirror.apply_snapshot(Snapshot((item("a/1", 4), item("a/2", 9)), 10, 10))
 
 
 @when("it is told of a change after revision 10 and of one that follows an unknown one")
 def told_changes(context):
     mirror = context.mirror
     context.taken = [
-        mirror.apply(10, Changes((item("a/3", 14),), (Removal("a/1", 15),), 15)),
-        mirror.apply(18, Changes((item("a/4", 19),), (), 19)),
-        mirror.apply(9, Changes((item("a/2", 9),), (), 12)),
+        mirror.apply_changes(10, Changes((item("a/3", 14),), (Removal("a/1", 15),), 15)),
+        mirror.apply_changes(18, Changes((item("a/4", 19),), (), 19)),
+        mirror.apply_changes(9, Changes((item("a/2", 9),), (), 12)),
     ]
 
 
@@ -277,7 +277,7 @@
 
 @then("it counts revision 20 as its newest change")
 def newest_change(context):
-    assert context.mirror.state.changed == 20, context.mirror.state
+    assert context.mirror.state.changed_revision == 20, context.mirror.state
 
 
 @given("a fleet of three gateways in one failure domain")
--- a/features/steps/mirror_changes_steps.py
+++ b/features/steps/mirror_changes_steps.py
@@ -37,7 +37,7 @@
 
 def told(first):
     made = mirror()
-    made.offer(first)
+    made.apply_snapshot(first)
     return made
 
 
@@ -50,7 +50,7 @@
         Removal(key(number), after + count + 1 + place) for place, number in enumerate(removed)
     )
     changes = Changes(written, gone, after + count + len(removed))
-    assert made.apply(after, changes)
+    assert made.apply_changes(after, changes)
     return after, changes
 
 
@@ -116,14 +116,14 @@
 @then("it gets the changes alone, and knows the same list")
 def changes_alone(context):
     assert isinstance(context.found, Changes) and context.answer_bytes < 2_000
-    assert context.second.apply(context.since, context.found)
+    assert context.second.apply_changes(context.since, context.found)
     same_list(context)
 
 
 @then("it gets the whole list, and knows the same list")
 def whole_list(context):
     assert isinstance(context.found, Snapshot)
-    assert context.second.offer(context.found)
+    assert context.second.apply_snapshot(context.found)
     same_list(context)
 
 
@@ -139,7 +139,7 @@
 
 
 def take(made, message):
-    return made.apply(message.known_before, message.changes())
+    return made.apply_changes(message.known_before, message.changes())
 
 
 @then("every message fits into a datagram, and the second one knows the same list")
--- a/features/steps/outages_steps.py
+++ b/features/steps/outages_steps.py
@@ -14,7 +14,7 @@
 
 def beats(context, seconds, *, answered):
     for _ in range(int(seconds * 1_000 / BEAT_MS)):
-        context.history.note(answered=answered)
+        context.history.record(answered=answered)
         context.clock.advance(BEAT_MS)
 
 
@@ -28,7 +28,7 @@
 @when("the store answers nobody for {seconds:d} seconds and is back")
 def outage(context, seconds):
     beats(context, seconds, answered=False)
-    context.history.note(answered=True)
+    context.history.record(answered=True)
 
 
 @when("{pause:d} seconds later it answers nobody for {seconds:d} seconds and is back")
@@ -44,21 +44,21 @@
 
 @then("an outage of {seconds:d} seconds is kept for, from a full calm of {calm:d} seconds on")
 def kept_for(context, seconds, calm):
-    outlook = context.history.outlook
-    assert outlook.length_ms == seconds * 1_000, outlook
-    assert outlook.readiness == 0.0, outlook
+    forecast = context.history.forecast
+    assert forecast.length_ms == seconds * 1_000, forecast
+    assert forecast.readiness == 0.0, forecast
     beats(context, calm, answered=True)
-    assert context.history.outlook.readiness == 1.0
+    assert context.history.forecast.readiness == 1.0
 
 
 @then("no outage is kept for")
 def none_kept(context):
-    assert context.history.outlook.length_ms == 0.0
+    assert context.history.forecast.length_ms == 0.0
 
 
 @then("the reserve is half of what it will be")
 def half(context):
-    assert context.history.outlook.readiness == 0.5, context.history.outlook
+    assert context.history.forecast.readiness == 0.5, context.history.forecast
 
 
 @given(
--- a/features/steps/reserve_steps.py
+++ b/features/steps/reserve_steps.py
@@ -94,7 +94,7 @@
         assert world.reserve(0, 100)
     world.store.down = False
     world.clock.advance(2_000)
-    world.store.answered_ms = world.clock.monotonic_ms()
+    world.store.last_answer_ms = world.clock.monotonic_ms()
     loan = LoanRequest(1, "router-1.2", "board", 0, 200)
     world.accounts[0].take_loan_request(loan, lambda _: None)
     world.accounts[0].tick()
--- a/features/steps/restored_mirror_steps.py
+++ b/features/steps/restored_mirror_steps.py
@@ -8,13 +8,13 @@
 from aspengate.clock import ManualClock
 from aspengate.errors import AspengateError, ErrorKind
 from aspengate.store import (
-    KEEP_MS,
+    UNCONFIRMED_RETENTION_MS,
     HistoryLostError,
     Snapshot,
     StoreEra,
     StoreItem,
     StoreMirror,
-    check_answer,
+    check_write_era,
     era_of,
     make_revision,
     number_of,
@@ -27,7 +27,7 @@
         st.tuples(st.just("write"), KEYS),
         st.tuples(st.just("remove"), KEYS),
         st.tuples(st.just("look"), st.booleans()),
-        st.tuples(st.just("time"), st.sampled_from([100.0, KEEP_MS])),
+        st.tuples(st.just("time"), st.sampled_from([100.0, UNCONFIRMED_RETENTION_MS])),
     ),
     max_size=12,
 )
@@ -105,10 +105,12 @@
 
     def look(self, *, told=True):
         leader, follower = self.mirrors
-        leader.offer(self.store.snapshot())
+        leader.apply_snapshot(self.store.snapshot())
         if told and leader.state.revision:
             items = tuple(leader.state.items.values())
-            follower.offer(Snapshot(items, leader.state.revision, leader.state.changed))
+            follower.apply_snapshot(
+                Snapshot(items, leader.state.revision, leader.state.changed_revision)
+            )
 
     def wait(self, time_ms):
         self.clock.advance(time_ms)
@@ -149,7 +151,7 @@
         if is_late:
             store.write_again(written)
         followers.look()
-    followers.wait(KEEP_MS)
+    followers.wait(UNCONFIRMED_RETENTION_MS)
     assert followers.views == [store.values()] * 2, (followers.views, store.values())
 
 
@@ -204,15 +206,15 @@
 @then("watches and conditions of an earlier one fail, and writes that another one did are unsure")
 def earlier_fail(context):
     era = StoreEra()
-    era.note(2)
+    era.record(2)
     earlier, present = make_revision(1, 9), make_revision(2, 3)
     era.check_watch("a/", present)
     era.check_conditions([present, 0])
-    check_answer([present, 0], 2)
+    check_write_era([present, 0], 2)
     for call in (
         lambda: era.check_watch("a/", earlier),
         lambda: era.check_conditions([present, earlier]),
-        lambda: check_answer([present], 3),
+        lambda: check_write_era([present], 3),
     ):
         try:
             call()
@@ -228,7 +230,7 @@
 def older_is_late(context):
     heard = []
     era = StoreEra()
-    era.on_rise = heard.append
+    era.on_increase = heard.append
     for each in (1, 3, 2, 3, 0):
-        era.note(each)
+        era.record(each)
     assert era.current == 3 and heard == [None, 1], heard
--- a/src/aspengate/allowances/_purse.py
+++ b/src/aspengate/allowances/_purse.py
@@ -5,12 +5,12 @@
 from aspengate.allowances._document import AllowanceDocument
 from aspengate.allowances._sizing import AllowanceSizing, Demand, Holding
 from aspengate.errors import AspengateError, ErrorKind
-from aspengate.store import OutageOutlook
+from aspengate.store import OutageForecast
 
 _HALF_LIFE_MS = 10_000.0
 _SIZE_WEIGHT = 0.2
 _LEAST_AGE_MS = 5_000.0
-NO_OUTAGE = OutageOutlook()
+NO_OUTAGE = OutageForecast()
 
 
 class Purse:
@@ -134,7 +134,7 @@
         *,
         idle: bool,
         is_primary: bool = False,
-        outage: OutageOutlook = NO_OUTAGE,
+        outage: OutageForecast = NO_OUTAGE,
     ) -> int:
         """Return the allowance to ask for, never less than what is committed.
 
--- a/src/aspengate/gateway/_crash_records.py
+++ b/src/aspengate/gateway/_crash_records.py
@@ -131,10 +131,12 @@
         found = {
             item.key.removeprefix(RECORD_PREFIX): self._read(item) for item in state.items.values()
         }
-        kept = {key.removeprefix(RECORD_PREFIX): item for key, item in state.kept.items.items()}
+        kept = {
+            key.removeprefix(RECORD_PREFIX): item for key, item in state.unconfirmed.items.items()
+        }
         for content, item in kept.items():
             if item is not None:
-                stored = state.kept.stored.get(item.key, 0)
+                stored = state.unconfirmed.stored.get(item.key, 0)
                 found[content] = replace(found[content], revision=stored)
         with self._lock:
             before, seen, self._seen = self._known, self._seen, state.revision
--- a/src/aspengate/gateway/_daemon.py
+++ b/src/aspengate/gateway/_daemon.py
@@ -89,7 +89,7 @@
         self.counters = counters
         self.leaving = False
         self.refusing = False
-        deployment.store.era.on_rise = self._on_store_era
+        deployment.store.era.on_increase = self._on_store_era
         self.holder = ConfigurationHolder(clock)
         self.pool = ConnectionPool(clock, _LONGEST_REST_MS)
         self.parts = PartMemory()
@@ -138,7 +138,7 @@
             ReadyApplication(self._is_ready), settings.ready_listen, _READY_THREADS, _SMALL_BODY
         )
         self.holder.on_change(self._apply_configuration)
-        self._suspension = SuspensionWatch(clock, counters, deployment.store.end_watches)
+        self._suspension = SuspensionWatch(clock, counters, deployment.store.abort_watches)
         self._closing = threading.Event()
         self._ticker = lasting_thread(self._tick, "ticker", counters)
 
@@ -255,7 +255,7 @@
             return
         if before is not None:
             # Their answers would be of the history before.
-            self.deployment.store.end_watches()
+            self.deployment.store.abort_watches()
             self.peering.note_store_restored()
         self.tokens.restore(has_returned=before is not None)
 
@@ -323,7 +323,7 @@
         self.tokens.on_restored = self.peering.tell_now
         self.peering.restored_era = lambda: self.tokens.restored_era
         self.tokens.writer.tell_grant = self.peering.tell_grant
-        self.tokens.writer.outlook = lambda: self.peering.outages.outlook
+        self.tokens.writer.outlook = lambda: self.peering.outages.forecast
 
     def _can_draw(self) -> bool:
         """Return whether the store seems to answer this router."""
--- a/src/aspengate/gateway/_mirror_sharing.py
+++ b/src/aspengate/gateway/_mirror_sharing.py
@@ -17,8 +17,8 @@
 )
 from aspengate.store import (
     Changes,
+    MirrorMode,
     Snapshot,
-    Stance,
     StoreMirror,
     era_of,
     number_of,
@@ -81,12 +81,12 @@
     @property
     def revisions(self) -> dict[str, int]:
         """The newest change that is known below each prefix."""
-        return {prefix: each.state.changed for prefix, each in self.mirrors.items()}
+        return {prefix: each.state.changed_revision for prefix, each in self.mirrors.items()}
 
     def start(self) -> None:
         """Begin to catch up, and to tell of changes."""
         for prefix, mirror in self.mirrors.items():
-            mirror.on_followed = partial(self._push, prefix)
+            mirror.on_watch_changes = partial(self._push, prefix)
         self._thread.start()
 
     def close(self) -> None:
@@ -111,7 +111,7 @@
         if mirror is None:
             return
         told = changes.changes()
-        if mirror.apply(changes.known_before, told):
+        if mirror.apply_changes(changes.known_before, told):
             self._counters.count("mirror.pushed")
         else:
             self.note_behind(changes.prefix, told.revision, address)
@@ -147,7 +147,7 @@
         if not all(mirror.state.revision for mirror in self.mirrors.values()):
             return 0.0
         leader = self._leadership.leader
-        if self._leadership.stance is Stance.TOLD and leader is not None:
+        if self._leadership.stance is MirrorMode.TOLD and leader is not None:
             told = {address for address, _ in list(self._behind.values())}
             return 0.0 if leader.address in told else _CUT_GRACE_MS
         if not self.reaches_store:
@@ -185,7 +185,7 @@
         Bytes between failure domains have a price. The others are drawn at random, so that
         routers which start together don't all ask the same ones.
         """
-        leader = self._leadership.leader if self._leadership.stance is Stance.TOLD else None
+        leader = self._leadership.leader if self._leadership.stance is MirrorMode.TOLD else None
         first = [leader.address] if leader is not None else []
         first += [told] if told and told not in first else []
         others = [each for each in self._addresses() if each not in first]
@@ -195,9 +195,9 @@
 def _take_over(mirror: StoreMirror, since: int, found: Snapshot | Changes) -> bool:
     """Take over what a peer told beyond a revision; return whether it was new."""
     if isinstance(found, Snapshot):
-        return mirror.offer(found)
+        return mirror.apply_snapshot(found)
     is_new = found.revision > mirror.state.revision
-    return mirror.apply(since, found) and is_new
+    return mirror.apply_changes(since, found) and is_new
 
 
 def _messages(prefix: str, after: int, changes: Changes) -> Iterator[MirrorChanges | None]:
--- a/src/aspengate/gateway/_peering.py
+++ b/src/aspengate/gateway/_peering.py
@@ -47,8 +47,8 @@
 from aspengate.serving import WsgiServer
 from aspengate.store import (
     KeyValueStore,
+    MirrorMode,
     OutageHistory,
-    Stance,
     StoreMirror,
     era_of,
     number_of,
@@ -177,7 +177,7 @@
         self.crashes.start()
         self.limits.start()
         for mirror in self.mirrors.values():
-            mirror.on_news = self._beat.set
+            mirror.on_status_change = self._beat.set
         self.sharing.start()
         self._probe.start()
         self._thread.start()
@@ -229,7 +229,7 @@
         delay_ms = random.uniform(0.0, self.members.count * _RELIST_MS)
         self._relist_ms = self._clock.monotonic_ms() + delay_ms
 
-    def stance(self) -> Stance:
+    def stance(self) -> MirrorMode:
         """Return where this router learns of changes in the store from."""
         return self.leadership.stance
 
@@ -238,7 +238,7 @@
             if self._list_tried.is_set():
                 self._look()
             self._tell()
-            self.outages.note(answered=self._fleet_reaches_store())
+            self.outages.record(answered=self._fleet_reaches_store())
             if not self.reaches_store:
                 self.sharing.look()
             self._on_count(self.members.count)
@@ -268,18 +268,18 @@
 
     def _fleet_reaches_store(self) -> bool:
         """Return whether the store answers this router or one that leads."""
-        if all(mirror.proven for mirror in self.mirrors.values()):
+        if all(mirror.last_watch_succeeded for mirror in self.mirrors.values()):
             return True
         return any(sign.leads and sign.reaches_store for sign in self.members.signs(_LEADER_MS))
 
     def _look(self) -> None:
         """See whether to rest, and have the mirrors act on it at once."""
         before = self.leadership.stance
-        proven = all(mirror.proven for mirror in self.mirrors.values())
+        proven = all(mirror.last_watch_succeeded for mirror in self.mirrors.values())
         self.leadership.look(connected=proven)
         if self.leadership.stance is not before:
             for mirror in self.mirrors.values():
-                mirror.look()
+                mirror.recheck_mode()
 
     def _tell(self) -> None:
         known = self._addresses()
@@ -400,7 +400,7 @@
             self._look()
         era = max(news.eras, default=0)
         if era:
-            self._store.era.note(era)
+            self._store.era.record(era)
         for prefix, revision in news.newest.items():
             self.sharing.note_behind(prefix, revision, news.member.address)
         for life in news.replaced:
--- a/src/aspengate/gateway/_store_mirrors.py
+++ b/src/aspengate/gateway/_store_mirrors.py
@@ -6,7 +6,14 @@
 from aspengate.crashes import RECORD_PREFIX
 from aspengate.gateway._ports import Deployment
 from aspengate.gateway._store_reader import StoreReader
-from aspengate.store import KEEP_MS, MirrorState, Stance, StoreMirror, WriterOrder, no_order
+from aspengate.store import (
+    UNCONFIRMED_RETENTION_MS,
+    MirrorMode,
+    MirrorState,
+    StoreMirror,
+    WriterOrder,
+    no_order,
+)
 from aspengate.telemetry import Counters
 
 # How long a watch waits for changes, in ms.
@@ -41,7 +48,7 @@
         reader: StoreReader,
         take_records: Callable[[MirrorState], None],
         *,
-        stance: Callable[[], Stance],
+        stance: Callable[[], MirrorMode],
         leads: Callable[[], bool],
         last_request_ms: Callable[[], float],
     ) -> None:
@@ -80,7 +87,7 @@
         prefix: str,
         on_change: Callable[[MirrorState], None],
         *,
-        keep_ms: float = KEEP_MS,
+        keep_ms: float = UNCONFIRMED_RETENTION_MS,
         order: WriterOrder = no_order,
     ) -> StoreMirror:
         return StoreMirror(
@@ -91,9 +98,9 @@
             on_change,
             _WATCH_MS,
             self._gather_ms,
-            stance=self._stance,
-            longest_pause_ms=self._longest_pause_ms,
-            keep_ms=keep_ms,
+            mode=self._stance,
+            max_backoff_ms=self._longest_pause_ms,
+            retention_ms=keep_ms,
             order=order,
         )
 
--- a/src/aspengate/gateway/_store_probe.py
+++ b/src/aspengate/gateway/_store_probe.py
@@ -48,7 +48,7 @@
     def _run(self) -> None:
         failed = 0
         while not self._closing.wait(0.0 if failed == 1 else _LOOK_S):
-            quiet_ms = self._clock.monotonic_ms() - self._store.answered_ms
+            quiet_ms = self._clock.monotonic_ms() - self._store.last_answer_ms
             if quiet_ms < _QUIET_MS or not self._is_needed():
                 failed = 0
                 continue
--- a/src/aspengate/gateway/prepaid/_supply.py
+++ b/src/aspengate/gateway/prepaid/_supply.py
@@ -164,7 +164,7 @@
     def schedule(self, account: Account) -> None:
         """Have a writer look after the account's document at once."""
         if account.working:
-            self.writer.writes.hurry()
+            self.writer.writes.flush()
             return
         if account.purse.frozen:
             return
@@ -199,7 +199,7 @@
             self.writer.work(account)
         finally:
             if swept:
-                self.writer.writes.arrived()
+                self.writer.writes.finish_expected()
             with account.changed:
                 account.working = False
                 account.changed.notify_all()
--- a/src/aspengate/gateway/prepaid/_writer.py
+++ b/src/aspengate/gateway/prepaid/_writer.py
@@ -28,7 +28,7 @@
     ConditionFailedError,
     GroupedWrites,
     KeyValueStore,
-    OutageOutlook,
+    OutageForecast,
     Put,
     StoreItem,
     era_of,
@@ -76,7 +76,7 @@
         self.session = session
         self.restorer = restorer
         self.routers = 1
-        self.outlook: Callable[[], OutageOutlook] = OutageOutlook
+        self.outlook: Callable[[], OutageForecast] = OutageForecast
         self.tell_grant: Callable[[Grant], None] = lambda _: None
         self.on_restored: Callable[[], None] = lambda: None
         self.ask_holders: Callable[[Account, float], bool] = lambda *_: False
@@ -97,9 +97,9 @@
 
         Where nothing else reaches the store either, it is not asked before it answers that.
         """
-        if not self._reaches_store() and now - self._store.answered_ms > _SEEMS_DOWN_MS:
+        if not self._reaches_store() and now - self._store.last_answer_ms > _SEEMS_DOWN_MS:
             return True
-        if self._store.answered_ms > self._failed_ms:
+        if self._store.last_answer_ms > self._failed_ms:
             return False
         patience_ms = _SEEMS_DOWN_MS if self._reaches_store() else _IS_DOWN_MS
         return now - self._failed_ms < patience_ms
--- a/src/aspengate/peers/_exchange.py
+++ b/src/aspengate/peers/_exchange.py
@@ -178,7 +178,7 @@
     return _MirrorBody(
         _as_items(changes.written),
         number_of(changes.revision),
-        number_of(state.changed),
+        number_of(state.changed_revision),
         [_Removal(each.key, number_of(each.revision)) for each in changes.removed],
         is_whole=False,
         era=era_of(changes.revision),
@@ -189,7 +189,7 @@
     return _MirrorBody(
         _as_items(items),
         number_of(state.revision),
-        number_of(state.changed),
+        number_of(state.changed_revision),
         era=era_of(state.revision),
     )
 
--- a/src/aspengate/peers/_leadership.py
+++ b/src/aspengate/peers/_leadership.py
@@ -7,7 +7,7 @@
 
 from aspengate.clock import Clock
 from aspengate.peers._members import Member, MemberList, SignOfLife
-from aspengate.store import Stance
+from aspengate.store import MirrorMode
 from aspengate.telemetry import log_change
 
 # A leader that is not heard for so long, in ms, leads no more: three of its beats. Together with
@@ -49,7 +49,7 @@
     """
 
     def __init__(self, members: MemberList, clock: Clock, prefixes: Collection[str] = ()) -> None:
-        self.stance = Stance.WAITING
+        self.stance = MirrorMode.WAITING
         self.leader: Member | None = None
         self._members = members
         self._clock = clock
@@ -77,12 +77,12 @@
         if self._alone_ms is None:
             self._alone_ms = now
         waited_ms = now - self._alone_ms
-        if self.stance is not Stance.FOLLOWING:
-            self.stance = Stance.WAITING
+        if self.stance is not MirrorMode.FOLLOWING:
+            self.stance = MirrorMode.WAITING
             if waited_ms >= self._delay_ms():
-                self.stance = Stance.FOLLOWING
+                self.stance = MirrorMode.FOLLOWING
                 log_change("store.followed_alone", waited_ms=round(waited_ms))
-        if not connected or self.stance is not Stance.FOLLOWING:
+        if not connected or self.stance is not MirrorMode.FOLLOWING:
             self._connected_ms = None
             return
         if self._connected_ms is None:
@@ -106,7 +106,7 @@
     def _rest(self, leader: Member) -> None:
         self._started = True
         self._alone_ms = None
-        self.stance = Stance.TOLD
+        self.stance = MirrorMode.TOLD
         self._members.leads = False
         if self.leader != leader:
             self.leader = leader
--- a/src/aspengate/platform/_client.py
+++ b/src/aspengate/platform/_client.py
@@ -18,7 +18,7 @@
 from aspengate.errors import AspengateError, ErrorKind
 from aspengate.store import (
     DECODE_ERRORS,
-    MOST_ERA,
+    MAX_ERA,
     AdaptiveTimeout,
     Changes,
     ConditionFailedError,
@@ -29,7 +29,7 @@
     StoreConnections,
     StoreEra,
     StoreItem,
-    check_answer,
+    check_write_era,
     era_of,
     make_revision,
     number_of,
@@ -113,7 +113,7 @@
         self.address = address
         self.timeout = AdaptiveTimeout(timeout_ms)
         self.clock = clock
-        self.answered_ms = float("-inf")
+        self.last_answer_ms = float("-inf")
         self.calls: Counter[str] = Counter()
         self.era = StoreEra()
         self._connections = StoreConnections(address)
@@ -186,7 +186,7 @@
         if answer.status == HTTPStatus.PRECONDITION_FAILED:
             items = [item.to_item(answer.era) for item in _decode(answer.body, _Page).items]
             raise ConditionFailedError({item.key: item for item in items})
-        check_answer(conditions.values(), answer.era)
+        check_write_era(conditions.values(), answer.era)
         return make_revision(answer.era, _decode(answer.body, _Done).revision)
 
     def _page(self, query: Mapping[str, Any]) -> tuple[_Page, int]:
@@ -205,7 +205,7 @@
         kind: str = "",
     ) -> _Answer:
         is_watch = wait_s is not None
-        connection = self._connections.take(is_watch=is_watch)
+        connection = self._connections.acquire(is_watch=is_watch)
         with self._lock:
             self.calls[kind or _KINDS[target.partition("?")[0]]] += 1
         unknown = ErrorKind.OUTCOME_UNKNOWN if is_write else ErrorKind.STORE_UNAVAILABLE
@@ -217,15 +217,15 @@
             answer = connection.getresponse()
             content = answer.read()
         except (OSError, http.client.HTTPException) as error:
-            self._connections.drop(connection, is_watch=is_watch)
+            self._connections.discard(connection, is_watch=is_watch)
             if not is_watch and isinstance(error, TimeoutError):
-                self.timeout.missed()
+                self.timeout.record_timeout()
             raise AspengateError(unknown, repr(error), where=target.partition("?")[0]) from error
         if not is_watch:
-            self.timeout.answered(self.clock.monotonic_ms() - begun_ms)
-        self._connections.give_back(connection)
+            self.timeout.record_answer(self.clock.monotonic_ms() - begun_ms)
+        self._connections.release(connection)
         era = self._read_era(answer)
-        self.era.note(era)
+        self.era.record(era)
         if answer.status in _NOTHING_DONE:
             raise AspengateError(
                 ErrorKind.STORE_UNAVAILABLE, f"status {answer.status}", where=self.address
@@ -233,20 +233,20 @@
         if answer.status not in _EXPECTED:
             message = f"status {answer.status}"
             raise AspengateError(unknown, message, where=target.partition("?")[0])
-        self.answered_ms = self.clock.monotonic_ms()
+        self.last_answer_ms = self.clock.monotonic_ms()
         return _Answer(answer.status, content, era)
 
     def _read_era(self, answer: http.client.HTTPResponse) -> int:
         """Return the history that an answer names; a store that names none has only one, 0."""
         named = answer.getheader(_ERA_HEADER, "0")
-        if _ERA_PATTERN.fullmatch(named) and int(named) <= MOST_ERA:
+        if _ERA_PATTERN.fullmatch(named) and int(named) <= MAX_ERA:
             return int(named)
-        self.era.tell_unreadable(named)
+        self.era.log_unreadable(named)
         return 0
 
-    def end_watches(self) -> None:
+    def abort_watches(self) -> None:
         """Have the watches that wait fail, so that they are made anew."""
-        self._connections.end_watches()
+        self._connections.abort_watches()
 
     def idle_sockets(self) -> list[socket.socket]:
         """Return the sockets of the connections that wait for a call."""
--- a/src/aspengate/platform/_records.py
+++ b/src/aspengate/platform/_records.py
@@ -17,7 +17,7 @@
 )
 from aspengate.errors import AspengateError, ErrorKind
 from aspengate.replicas import Evacuation, Replica, ReplicaState
-from aspengate.store import MOST_VALUE_BYTES, StoreItem, decode_value
+from aspengate.store import MAX_VALUE_BYTES, StoreItem, decode_value
 
 # All that the operator writes lies below one prefix, so that one watch tells of all of it, and a
 # router that knows a configuration also knows the evacuations of that moment.
@@ -221,5 +221,5 @@
     return max(octets) <= _MOST_OCTET and 0 < port <= _MOST_PORT
 
 
-def _decode(item: StoreItem, kind: type[_Record], most_bytes: int = MOST_VALUE_BYTES) -> _Record:
+def _decode(item: StoreItem, kind: type[_Record], most_bytes: int = MAX_VALUE_BYTES) -> _Record:
     return decode_value(item.value, kind, item.key, most_bytes)
--- a/src/aspengate/store/_connections.py
+++ b/src/aspengate/store/_connections.py
@@ -7,7 +7,7 @@
 
 from aspengate.connections import detect_silence
 from aspengate.errors import AspengateError, ErrorKind
-from aspengate.store._silence import SilenceCount
+from aspengate.store._unanswered import UnansweredCallCounter
 
 # A connection comes up within a round trip of a few ms, or after the opening packet was lost; a
 # new one is then tried sooner than the system sends it again after 1 s.
@@ -24,11 +24,11 @@
     def __init__(self, address: str) -> None:
         self.address = address
         self._idle: list[http.client.HTTPConnection] = []
-        self._silence = SilenceCount()
+        self._silence = UnansweredCallCounter()
         self._watches: set[http.client.HTTPConnection] = set()
         self._lock = threading.Lock()
 
-    def take(self, *, is_watch: bool) -> http.client.HTTPConnection:
+    def acquire(self, *, is_watch: bool) -> http.client.HTTPConnection:
         """Return a connection for one call; raises STORE_UNAVAILABLE where none comes up."""
         with self._lock:
             idle = self._idle.pop() if self._idle else None
@@ -38,17 +38,17 @@
                 self._watches.add(connection)
         return connection
 
-    def give_back(self, connection: http.client.HTTPConnection) -> None:
+    def release(self, connection: http.client.HTTPConnection) -> None:
         """Keep the connection of a call that was answered for another one."""
         with self._lock:
-            self._silence.answered()
+            self._silence.record_answer()
             self._watches.discard(connection)
             if connection.sock is not None and len(self._idle) < _IDLE_CONNECTIONS:
                 self._idle.append(connection)
                 return
         connection.close()
 
-    def drop(self, connection: http.client.HTTPConnection, *, is_watch: bool) -> None:
+    def discard(self, connection: http.client.HTTPConnection, *, is_watch: bool) -> None:
         """Close the connection of a failed call, and those that probably failed along with it."""
         connection.close()
         with self._lock:
@@ -59,7 +59,7 @@
         if not is_watch:
             self._note_unanswered()
 
-    def end_watches(self) -> None:
+    def abort_watches(self) -> None:
         """Have the watches that wait fail, so that they are made anew."""
         with self._lock:
             watches, self._watches = self._watches, set()
@@ -90,6 +90,6 @@
     def _note_unanswered(self) -> None:
         """Note a call without an answer, and end the watches that wait where these are in doubt."""
         with self._lock:
-            if not self._silence.unanswered():
+            if not self._silence.record_unanswered():
                 return
-        self.end_watches()
+        self.abort_watches()
--- a/src/aspengate/store/_era.py
+++ b/src/aspengate/store/_era.py
@@ -27,21 +27,21 @@
 
     def __init__(self) -> None:
         self.current = 0
-        self.on_rise: Callable[[int | None], None] = lambda _: None
+        self.on_increase: Callable[[int | None], None] = lambda _: None
         self._is_heard = False
         self._is_unreadable_told = False
         self._lock = threading.Lock()
 
-    def note(self, era: int) -> None:
+    def record(self, era: int) -> None:
         """Note a history that was heard of."""
         with self._lock:
             before = self.current if self._is_heard else None
             self._is_heard = True
             self.current = max(era, self.current)
         if before is None or era > before:
-            self.on_rise(before)
+            self.on_increase(before)
 
-    def tell_unreadable(self, named: str) -> None:
+    def log_unreadable(self, named: str) -> None:
         """Tell once that the store names a history that can't be read."""
         if not self._is_unreadable_told:
             self._is_unreadable_told = True
@@ -59,7 +59,7 @@
             raise AspengateError(ErrorKind.STORE_UNAVAILABLE, message)
 
 
-def check_answer(revisions: Iterable[int], era: int) -> None:
+def check_write_era(revisions: Iterable[int], era: int) -> None:
     """Raise OUTCOME_UNKNOWN where a write was done in another history than its conditions are of.
 
     The same number may stand for another value there.
--- a/src/aspengate/store/_grouped.py
+++ b/src/aspengate/store/_grouped.py
@@ -51,13 +51,13 @@
         with self._changed:
             self._expected += count
 
-    def arrived(self) -> None:
+    def finish_expected(self) -> None:
         """Note that one of the expected writes is over, or will not come."""
         with self._changed:
             self._expected -= 1
             self._changed.notify_all()
 
-    def hurry(self) -> None:
+    def flush(self) -> None:
         """Make what has come by now, since a request waits for one of the accounts."""
         with self._changed:
             self._hurried = True
--- a/src/aspengate/store/_mirror.py
+++ b/src/aspengate/store/_mirror.py
@@ -10,7 +10,6 @@
 from aspengate.clock import Clock
 from aspengate.errors import AspengateError
 from aspengate.store._era import HistoryLostError
-from aspengate.store._kept import KeptItems, WriterOrder, no_order
 from aspengate.store._port import (
     Changes,
     KeyValueStore,
@@ -19,6 +18,7 @@
     StoreItem,
 )
 from aspengate.store._revision import era_of, number_of
+from aspengate.store._unconfirmed import UnconfirmedItems, WriterOrder, no_order
 from aspengate.telemetry import Counters, lasting_thread, log_change
 
 _FIRST_PAUSE_MS = 50.0
@@ -33,16 +33,16 @@
 _REST_LOOK_MS = 250.0
 # How long what was known is kept where a store that came back from an older copy holds something
 # else, in ms: the records of live replicas are back within about two seconds.
-KEEP_MS = 3_000.0
+UNCONFIRMED_RETENTION_MS = 3_000.0
 # So many keys are told in a line.
 _MOST_KEPT_TOLD = 20
 # What a line tells of a fault, in characters.
 _MOST_TOLD = 300
 
-OnFollowed = Callable[[int, Changes], None]
+WatchChangesCallback = Callable[[int, Changes], None]
 
 
-class Stance(enum.Enum):
+class MirrorMode(enum.Enum):
     """Where a mirror learns of changes: by own watches, from another process, or not yet at all.
 
     One that is waiting makes no call; it learns shortly which of the two it is to be.
@@ -63,8 +63,8 @@
 
     items: Mapping[str, StoreItem] = field(default_factory=dict)
     revision: int = 0
-    changed: int = 0
-    kept: KeptItems = field(default_factory=KeptItems)
+    changed_revision: int = 0
+    unconfirmed: UnconfirmedItems = field(default_factory=UnconfirmedItems)
 
 
 class StoreMirror:
@@ -97,29 +97,29 @@
         counters: Counters,
         on_change: Callable[[MirrorState], None],
         wait_ms: int,
-        gather_ms: Callable[[], float] = lambda: 0.0,
-        stance: Callable[[], Stance] = lambda: Stance.FOLLOWING,
-        longest_pause_ms: Callable[[], float] = lambda: _LONGEST_PAUSE_MS,
-        keep_ms: float = KEEP_MS,
+        coalesce_ms: Callable[[], float] = lambda: 0.0,
+        mode: Callable[[], MirrorMode] = lambda: MirrorMode.FOLLOWING,
+        max_backoff_ms: Callable[[], float] = lambda: _LONGEST_PAUSE_MS,
+        retention_ms: float = UNCONFIRMED_RETENTION_MS,
         order: WriterOrder = no_order,
     ) -> None:
         self.prefix = prefix
         self.state = MirrorState()
         self.connected = False
-        self.on_followed: OnFollowed = lambda *_: None
-        self.on_news: Callable[[], None] = lambda: None
+        self.on_watch_changes: WatchChangesCallback = lambda *_: None
+        self.on_status_change: Callable[[], None] = lambda: None
         self.wait_ms = wait_ms
-        self.gather_ms = gather_ms
+        self.coalesce_ms = coalesce_ms
         self._store = store
         self._clock = clock
         self._counters = counters
         self._on_change = on_change
         self._lock = threading.Lock()
-        self._stance = stance
-        self._longest_pause_ms = longest_pause_ms
-        self._keep_ms = keep_ms
+        self._stance = mode
+        self._longest_pause_ms = max_backoff_ms
+        self._keep_ms = retention_ms
         self._order = order
-        self._kept = KeptItems()
+        self._kept = UnconfirmedItems()
         # Keys that are known as removed, the last one removed last.
         self._gone: OrderedDict[str, None] = OrderedDict()
         self._proven = False
@@ -138,16 +138,16 @@
         self._closing.set()
         self._wake.set()
 
-    def look(self) -> None:
+    def recheck_mode(self) -> None:
         """Look at the stance at once."""
         self._wake.set()
 
     @property
-    def proven(self) -> bool:
+    def last_watch_succeeded(self) -> bool:
         """Whether the store answered the last watch of this mirror's own."""
         return self._proven
 
-    def apply(self, after: int, changes: Changes) -> bool:
+    def apply_changes(self, after: int, changes: Changes) -> bool:
         """Take over changes that another process saw; return whether they lead on from here.
 
         ``after`` is the revision of the newest change before them.
@@ -173,7 +173,7 @@
             )
             return Changes(written, removed, self.state.revision)
 
-    def offer(self, snapshot: Snapshot) -> bool:
+    def apply_snapshot(self, snapshot: Snapshot) -> bool:
         """Take over a whole state if it is newer than the one held; return whether it was."""
         with self._lock:
             if snapshot.revision <= self.state.revision:
@@ -185,12 +185,12 @@
             if is_restored:
                 self._keep(items, snapshot.revision)
             else:
-                self._kept = self._kept.beside(items)
+                self._kept = self._kept.after_snapshot(items)
             removed = set(self.state.items) - set(items)
             removed |= {key for key, item in self._kept.items.items() if item is None}
             self._note_gone(removed, items)
             newest = max((item.revision for item in snapshot.items), default=0)
-            changed = max(newest, snapshot.changed, self.state.changed)
+            changed = max(newest, snapshot.changed_revision, self.state.changed_revision)
             self.state = MirrorState(items, snapshot.revision, changed)
             self._removals.clear()
             self._removals_since = snapshot.revision
@@ -200,9 +200,11 @@
 
     def _keep(self, stored: Mapping[str, StoreItem], revision: int) -> None:
         """Keep what is known against what a store that came back holds; the lock is held."""
-        known = self._kept.over(self.state.items)
+        known = self._kept.overlay(self.state.items)
         until_ms = self._clock.monotonic_ms() + self._keep_ms
-        self._kept = KeptItems.of(known, self._gone, stored, revision, until_ms, self._order)
+        self._kept = UnconfirmedItems.reconcile(
+            known, self._gone, stored, revision, until_ms, self._order
+        )
         self._counters.count("mirror.restored")
         log_change(
             "store.restored",
@@ -215,10 +217,10 @@
 
     def _end_kept(self) -> None:
         """Take what was not written again in time for gone."""
-        if not self._kept.items or self._clock.monotonic_ms() < self._kept.until_ms:
+        if not self._kept.items or self._clock.monotonic_ms() < self._kept.expires_ms:
             return
         with self._lock:
-            ended, self._kept = self._kept, KeptItems()
+            ended, self._kept = self._kept, UnconfirmedItems()
             self._note_gone(set(ended.items) - set(self.state.items), self.state.items)
             log_change(
                 "store.kept_ended",
@@ -243,7 +245,7 @@
             try:
                 self._end_kept()
                 stance = self._stance()
-                if stance is not Stance.FOLLOWING:
+                if stance is not MirrorMode.FOLLOWING:
                     listed = listed or bool(self.state.revision)
                     self._rest(stance)
                     continue
@@ -254,7 +256,7 @@
                 self._note_connected()
                 pause_ms = _FIRST_PAUSE_MS
                 if has_changed:
-                    self._closing.wait(self.gather_ms() / 1_000)
+                    self._closing.wait(self.coalesce_ms() / 1_000)
             except HistoryLostError:
                 self._counters.count("mirror.history_lost")
                 log_change(
@@ -281,10 +283,10 @@
     def _is_of_earlier_era(self) -> bool:
         return era_of(self.state.revision) < self._store.era.current
 
-    def _rest(self, stance: Stance) -> None:
+    def _rest(self, stance: MirrorMode) -> None:
         """Make no call for a while; what another process tells counts as the store's word."""
         self._proven = False
-        self.connected = stance is Stance.TOLD and bool(self.state.revision)
+        self.connected = stance is MirrorMode.TOLD and bool(self.state.revision)
         self._wake.wait(_REST_LOOK_MS / 1_000)
         self._wake.clear()
 
@@ -292,7 +294,7 @@
         """Read all items; what was removed before is covered by the revision they are as of."""
         found = self._store.list_items(self.prefix)
         known = self.state.revision
-        is_newer = self.offer(replace(found, changed=found.revision))
+        is_newer = self.apply_snapshot(replace(found, changed_revision=found.revision))
         log_change(
             "store.listed",
             prefix=self.prefix,
@@ -302,7 +304,7 @@
             items=len(found.items),
             is_newer=is_newer,
         )
-        self.on_news()
+        self.on_status_change()
         if self._is_of_earlier_era:
             raise HistoryLostError(self.prefix)
 
@@ -310,17 +312,17 @@
         """Wait for changes and take them over; return whether there were any."""
         wait_ms = self.wait_ms if self._proven else _PROBE_MS
         if self._kept.items:
-            left_ms = self._kept.until_ms - self._clock.monotonic_ms()
+            left_ms = self._kept.expires_ms - self._clock.monotonic_ms()
             wait_ms = int(min(wait_ms, max(_PROBE_MS, left_ms)))
         changes = self._store.changes(self.prefix, self.state.revision, wait_ms)
         with self._lock:
             if changes.revision <= self.state.revision:
                 return False
-            after = self.state.changed
+            after = self.state.changed_revision
             self._take(changes)
         has_changed = bool(changes.written or changes.removed)
         if has_changed:
-            self.on_followed(after, changes)
+            self.on_watch_changes(after, changes)
         return has_changed
 
     def _take(self, changes: Changes) -> None:
@@ -330,11 +332,11 @@
         if overflow > 0:
             self._removals_since = changes.revision
         self._removals.extend(changes.removed)
-        self._kept = self._kept.after(changes)
+        self._kept = self._kept.after_changes(changes)
         self._note_gone(
             (each.key for each in changes.removed), (each.key for each in changes.written)
         )
-        changed = max(_apply(changes, items), self.state.changed)
+        changed = max(_apply(changes, items), self.state.changed_revision)
         self.state = MirrorState(items, changes.revision, changed)
         if changes.written or changes.removed:
             self._hand_on()
@@ -343,7 +345,7 @@
         """Hand a new state to its owner; a fault there must not end the thread that follows."""
         state = self.state
         if self._kept.items:
-            state = replace(state, items=self._kept.over(state.items), kept=self._kept)
+            state = replace(state, items=self._kept.overlay(state.items), unconfirmed=self._kept)
         try:
             self._on_change(state)
         except Exception as error:
@@ -364,7 +366,7 @@
                 revision=number_of(self.state.revision),
             )
         if not was_proven:
-            self.on_news()
+            self.on_status_change()
 
     def _note_lost(self, error: AspengateError) -> None:
         self._counters.count("mirror.failed")
@@ -372,7 +374,7 @@
         if self.connected:
             self.connected = False
             log_change("store.lost", prefix=self.prefix, error=str(error))
-            self.on_news()
+            self.on_status_change()
 
 
 def _apply(changes: Changes, items: dict[str, StoreItem]) -> int:
--- a/src/aspengate/store/_outages.py
+++ b/src/aspengate/store/_outages.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True)
-class OutageOutlook:
+class OutageForecast:
     """What is to be kept for another outage.
 
     ``length_ms`` is the longest one that was seen, 0 where none was. ``readiness``, 0 to 1, is the
@@ -39,7 +39,7 @@
         self._shortest_calm_ms = _FIRST_CALM_MS
         self._lock = threading.Lock()
 
-    def note(self, *, answered: bool) -> None:
+    def record(self, *, answered: bool) -> None:
         """Note whether the store answers any router now; call it some times in a second."""
         now = self._clock.monotonic_ms()
         with self._lock:
@@ -49,14 +49,14 @@
                 self._end(self._began_ms, now)
 
     @property
-    def outlook(self) -> OutageOutlook:
+    def forecast(self) -> OutageForecast:
         """What is to be kept for another outage."""
         now = self._clock.monotonic_ms()
         with self._lock:
             if self._ended_ms is None:
-                return OutageOutlook()
+                return OutageForecast()
             passed = (now - self._ended_ms) / self._shortest_calm_ms
-            return OutageOutlook(self._longest_ms, min(1.0, passed))
+            return OutageForecast(self._longest_ms, min(1.0, passed))
 
     def _end(self, began_ms: float, now: float) -> None:
         self._began_ms = None
--- a/src/aspengate/store/_port.py
+++ b/src/aspengate/store/_port.py
@@ -27,7 +27,7 @@
 
     items: tuple[StoreItem, ...]
     revision: int
-    changed: int = 0
+    changed_revision: int = 0
 
 
 @dataclass(frozen=True)
@@ -67,14 +67,14 @@
     """A store with revisions, prefix watches and conditional writes.
 
     Every call may raise AspengateError of kind STORE_UNAVAILABLE, which promises that nothing
-    was done. ``answered_ms`` is when the store last did what it was asked, in monotonic
+    was done. ``last_answer_ms`` is when the store last did what it was asked, in monotonic
     milliseconds. ``calls`` counts the calls made, by what they do.
 
     A store may come back from an older copy of itself: ``era`` tells which history it names.
     Revisions hold theirs, and a call with one of an earlier history fails without being made.
     """
 
-    answered_ms: float
+    last_answer_ms: float
     calls: Counter[str]
     era: StoreEra
 
@@ -84,7 +84,7 @@
     def probe(self) -> None:
         """Ask for the cheapest answer there is; raises STORE_UNAVAILABLE where none comes."""
 
-    def end_watches(self) -> None:
+    def abort_watches(self) -> None:
         """Have the calls of ``changes`` that wait fail, so that they are made anew."""
 
     def list_items(self, prefix: str) -> Snapshot:
--- a/src/aspengate/store/_revision.py
+++ b/src/aspengate/store/_revision.py
@@ -10,7 +10,7 @@
 _NUMBER_BITS = 40
 _MOST_NUMBER = (1 << _NUMBER_BITS) - 1
 # The highest history whose revisions fit into 63 bits, as messages and documents hold them.
-MOST_ERA = (1 << (63 - _NUMBER_BITS)) - 1
+MAX_ERA = (1 << (63 - _NUMBER_BITS)) - 1
 
 
 def make_revision(era: int, number: int) -> int:
--- a/src/aspengate/store/_timeout.py
+++ b/src/aspengate/store/_timeout.py
@@ -17,8 +17,8 @@
     for. ``most_ms`` bounds it.
     """
 
-    def __init__(self, most_ms: float) -> None:
-        self.most_ms = most_ms
+    def __init__(self, max_ms: float) -> None:
+        self.max_ms = max_ms
         self._usual_ms: float | None = None
         self._back_off = 1.0
         self._lock = threading.Lock()
@@ -29,16 +29,16 @@
         with self._lock:
             first = self._usual_ms is None
             usual = _FIRST_MS if first else (self._usual_ms or 0.0) * _FACTOR + _MARGIN_MS
-            return min(self.most_ms, max(_LEAST_MS, usual) * self._back_off)
+            return min(self.max_ms, max(_LEAST_MS, usual) * self._back_off)
 
-    def answered(self, duration_ms: float) -> None:
+    def record_answer(self, duration_ms: float) -> None:
         """Take the time of an answer that came."""
         with self._lock:
             usual = duration_ms if self._usual_ms is None else self._usual_ms
             self._usual_ms = usual + _WEIGHT * (duration_ms - usual)
             self._back_off = 1.0
 
-    def missed(self) -> None:
+    def record_timeout(self) -> None:
         """Note that no answer came in time."""
         with self._lock:
-            self._back_off = min(self._back_off * _BACK_OFF, self.most_ms / _LEAST_MS)
+            self._back_off = min(self._back_off * _BACK_OFF, self.max_ms / _LEAST_MS)
--- a/src/aspengate/store/_silence.py
+++ b/src/aspengate/store/_unanswered.py
@@ -5,7 +5,7 @@
 _UNANSWERED = 2
 
 
-class SilenceCount:
+class UnansweredCallCounter:
     """Counts the calls in a row that got no answer.
 
     The connections of watches that wait probably say nothing any more either, after two such
@@ -16,11 +16,11 @@
     def __init__(self) -> None:
         self._unanswered = 0
 
-    def answered(self) -> None:
+    def record_answer(self) -> None:
         """Note an answer."""
         self._unanswered = 0
 
-    def unanswered(self) -> bool:
+    def record_unanswered(self) -> bool:
         """Note a call without an answer; return whether waiting watches are to be ended."""
         self._unanswered += 1
         return self._unanswered >= _UNANSWERED
--- a/src/aspengate/store/_kept.py
+++ b/src/aspengate/store/_unconfirmed.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True)
-class KeptItems:
+class UnconfirmedItems:
     """Items by key as they were known before the store came back, None for a removed one.
 
     Until its writer has written an item again, the copy's one is older. The store does not tell
@@ -27,10 +27,10 @@
     items: Mapping[str, StoreItem | None] = field(default_factory=dict)
     stored: Mapping[str, int] = field(default_factory=dict)
     baseline: int = 0
-    until_ms: float = 0.0
+    expires_ms: float = 0.0
 
     @classmethod
-    def of(
+    def reconcile(
         cls,
         known: Mapping[str, StoreItem],
         removed: Collection[str],
@@ -38,7 +38,7 @@
         baseline: int,
         until_ms: float,
         order: WriterOrder = no_order,
-    ) -> "KeptItems":
+    ) -> "UnconfirmedItems":
         """Return what of ``known`` and ``removed`` is to be kept against what is stored."""
         items: dict[str, StoreItem | None] = {
             key: item
@@ -49,28 +49,28 @@
         revisions = {key: item.revision for key, item in stored.items()}
         return cls(items, revisions, baseline, until_ms)
 
-    def over(self, stored: Mapping[str, StoreItem]) -> dict[str, StoreItem]:
+    def overlay(self, stored: Mapping[str, StoreItem]) -> dict[str, StoreItem]:
         """Return the items that hold: those kept, and of the others what is stored."""
         items = {key: item for key, item in stored.items() if key not in self.items}
         items.update({key: item for key, item in self.items.items() if item is not None})
         return items
 
-    def after(self, changes: Changes) -> "KeptItems":
+    def after_changes(self, changes: Changes) -> "UnconfirmedItems":
         """Return what is still to be kept after changes in the new history."""
         changed = {each.key for each in changes.written if each.revision > self.baseline}
         changed |= {each.key for each in changes.removed if each.revision > self.baseline}
         return self._without(changed)
 
-    def beside(self, stored: Mapping[str, StoreItem]) -> "KeptItems":
+    def after_snapshot(self, stored: Mapping[str, StoreItem]) -> "UnconfirmedItems":
         """Return what is still to be kept beside a later state of the new history."""
         written = {key for key, item in stored.items() if item.revision > self.baseline}
         return self._without(written | (set(self.stored) - set(stored)))
 
-    def _without(self, keys: Collection[str]) -> "KeptItems":
+    def _without(self, keys: Collection[str]) -> "UnconfirmedItems":
         if not any(key in self.items for key in keys):
             return self
         items = {key: item for key, item in self.items.items() if key not in keys}
-        return KeptItems(items, self.stored, self.baseline, self.until_ms)
+        return UnconfirmedItems(items, self.stored, self.baseline, self.expires_ms)
 
 
 def _is_superseded(known: StoreItem, stored: StoreItem | None, order: WriterOrder) -> bool:
--- a/src/aspengate/store/_values.py
+++ b/src/aspengate/store/_values.py
@@ -7,7 +7,7 @@
 from aspengate.errors import AspengateError, ErrorKind
 
 # No value that this program reads is longer, but the operator's configuration.
-MOST_VALUE_BYTES = 64 * 1024
+MAX_VALUE_BYTES = 64 * 1024
 # What is told of a value that can't be read: an error may quote all of it.
 _MOST_TOLD = 200
 
@@ -19,15 +19,15 @@
 
 
 def decode_value(
-    value: bytes, kind: type[_Value], where: str, most_bytes: int = MOST_VALUE_BYTES
+    value: bytes, kind: type[_Value], where: str, max_bytes: int = MAX_VALUE_BYTES
 ) -> _Value:
     """Return what a JSON value holds; raises BAD_REQUEST for any other bytes.
 
     Lists within lists without end are an error like any other: as a RecursionError they ended the
     thread that followed the list of replicas.
     """
-    if len(value) > most_bytes:
-        message = f"has {len(value)} bytes, {most_bytes} at most"
+    if len(value) > max_bytes:
+        message = f"has {len(value)} bytes, {max_bytes} at most"
         raise AspengateError(ErrorKind.BAD_REQUEST, message, where=where)
     try:
         return msgspec.json.decode(value, type=kind)
