--- a/features/steps/grouped_writes_steps.py
+++ b/features/steps/grouped_writes_steps.py
@@ -79,11 +79,11 @@
 def together(context, count):
     import aspengate.store._grouped as grouped
 
-    usual, grouped._GATHER_S = grouped._GATHER_S, LONG_S
+    usual, grouped._GROUP_WINDOW_S = grouped._GROUP_WINDOW_S, LONG_S
     try:
         write_all(context, count)
     finally:
-        grouped._GATHER_S = usual
+        grouped._GROUP_WINDOW_S = usual
 
 
 @then("all are done by {calls:d} call")
@@ -97,7 +97,7 @@
 def only_urgent(context, count):
     import aspengate.store._grouped as grouped
 
-    usual, grouped._GATHER_S = grouped._GATHER_S, LONG_S
+    usual, grouped._GROUP_WINDOW_S = grouped._GROUP_WINDOW_S, LONG_S
     try:
         writes = GroupedWrites(context.store)
         writes.expect(count)
@@ -105,7 +105,7 @@
         writes.write(Put("key-1", b"new"), 0, urgent=True)
         context.took_s = time.monotonic() - begun
     finally:
-        grouped._GATHER_S = usual
+        grouped._GROUP_WINDOW_S = usual
 
 
 @then("it is done before the time to gather is over")
--- a/features/steps/restored_mirror_steps.py
+++ b/features/steps/restored_mirror_steps.py
@@ -115,7 +115,7 @@
     def wait(self, time_ms):
         self.clock.advance(time_ms)
         for mirror in self.mirrors:
-            mirror._end_kept()
+            mirror._expire_unconfirmed()
 
     def play(self, events):
         for name, value in events:
--- a/src/aspengate/store/__init__.py
+++ b/src/aspengate/store/__init__.py
@@ -1,4 +1,4 @@
-"""The key-value store that holds all that must last, as the product sees it."""
+"""The interface to the key-value store of durable shared state, and helpers for its clients."""
 
 from aspengate.store._connections import StoreConnections
 from aspengate.store._era import HistoryLostError, StoreEra, check_write_era
--- a/src/aspengate/store/_connections.py
+++ b/src/aspengate/store/_connections.py
@@ -1,4 +1,4 @@
-"""HTTP connections to a store, which are kept for more calls."""
+"""A pool of HTTP connections to the store."""
 
 import contextlib
 import http.client
@@ -9,27 +9,30 @@
 from aspengate.errors import AspengateError, ErrorKind
 from aspengate.store._unanswered import UnansweredCallCounter
 
-# A connection comes up within a round trip of a few ms, or after the opening packet was lost; a
-# new one is then tried sooner than the system sends it again after 1 s.
+# A connection is established within a round trip of a few ms, unless the SYN packet is lost. The
+# kernel resends a lost SYN only after 1 s, so opening a new connection is faster.
 _CONNECT_TIMEOUT_S = 0.5
-_IDLE_CONNECTIONS = 4
+_MAX_IDLE_CONNECTIONS = 4
 
 
 class StoreConnections:
-    """Connections to ``address``, for calls that are answered at once and for watches that wait.
+    """Pools keep-alive connections to ``address`` for ordinary calls and for long-poll watches.
 
-    It may be called from any thread.
+    All methods are thread-safe.
     """
 
     def __init__(self, address: str) -> None:
         self.address = address
         self._idle: list[http.client.HTTPConnection] = []
-        self._silence = UnansweredCallCounter()
+        self._unanswered = UnansweredCallCounter()
         self._watches: set[http.client.HTTPConnection] = set()
         self._lock = threading.Lock()
 
     def acquire(self, *, is_watch: bool) -> http.client.HTTPConnection:
-        """Return a connection for one call; raises STORE_UNAVAILABLE where none comes up."""
+        """Return a connection for one call.
+
+        Raises AspengateError of kind STORE_UNAVAILABLE if none can be established.
+        """
         with self._lock:
             idle = self._idle.pop() if self._idle else None
         connection = idle or self._open()
@@ -39,17 +42,20 @@
         return connection
 
     def release(self, connection: http.client.HTTPConnection) -> None:
-        """Keep the connection of a call that was answered for another one."""
+        """Return an answered call's connection to the pool, or close it if the pool is full."""
         with self._lock:
-            self._silence.record_answer()
+            self._unanswered.record_answer()
             self._watches.discard(connection)
-            if connection.sock is not None and len(self._idle) < _IDLE_CONNECTIONS:
+            if connection.sock is not None and len(self._idle) < _MAX_IDLE_CONNECTIONS:
                 self._idle.append(connection)
                 return
         connection.close()
 
     def discard(self, connection: http.client.HTTPConnection, *, is_watch: bool) -> None:
-        """Close the connection of a failed call, and those that probably failed along with it."""
+        """Close the connection of a failed call and all idle connections.
+
+        The idle ones have probably failed for the same reason.
+        """
         connection.close()
         with self._lock:
             self._watches.discard(connection)
@@ -57,20 +63,20 @@
         for each in idle:
             each.close()
         if not is_watch:
-            self._note_unanswered()
+            self._record_unanswered()
 
     def abort_watches(self) -> None:
-        """Have the watches that wait fail, so that they are made anew."""
+        """Shut down the connections of waiting watches; the watches fail and callers retry them."""
         with self._lock:
             watches, self._watches = self._watches, set()
         for sock in [connection.sock for connection in watches]:
-            # A watch that has just ended by itself has no socket any more.
+            # The socket is None if the watch has just ended on its own.
             if sock is not None:
                 with contextlib.suppress(OSError):
                     sock.shutdown(socket.SHUT_RDWR)
 
     def idle_sockets(self) -> list[socket.socket]:
-        """Return the sockets of the connections that wait for a call."""
+        """Return the sockets of the idle connections."""
         with self._lock:
             return [connection.sock for connection in self._idle]
 
@@ -81,15 +87,15 @@
             detect_silence(connection.sock)
         except OSError as error:
             connection.close()
-            self._note_unanswered()
+            self._record_unanswered()
             raise AspengateError(
                 ErrorKind.STORE_UNAVAILABLE, repr(error), where=self.address
             ) from error
         return connection
 
-    def _note_unanswered(self) -> None:
-        """Note a call without an answer, and end the watches that wait where these are in doubt."""
+    def _record_unanswered(self) -> None:
+        """Count an unanswered call, and abort the watches if their connections are in doubt."""
         with self._lock:
-            if not self._silence.record_unanswered():
+            if not self._unanswered.record_unanswered():
                 return
         self.abort_watches()
--- a/src/aspengate/store/_grouped.py
+++ b/src/aspengate/store/_grouped.py
@@ -1,4 +1,4 @@
-"""Writes of single items that are made together, since the store counts each call."""
+"""Groups writes of single items into one store call, since the store charges for each call."""
 
 import threading
 from dataclasses import dataclass, field
@@ -6,17 +6,20 @@
 from aspengate.errors import AspengateError, ErrorKind
 from aspengate.store._port import ConditionFailedError, KeyValueStore, Put, StoreItem
 
-# Writes that can wait are gathered for so long, in s, or until as many have come as are expected:
-# those of one sweep are planned within some tens of ms of each other on a slow processor, unless
-# one waits for its witness. With 0.03 s hardly any came together (68 routers, 1 play).
-_GATHER_S = 0.25
-# The platform takes 32 entries in a call, and each write has a condition and a value.
-_MOST_TOGETHER = 15
+# Non-urgent writes are collected for at most this time, or until all expected writes have arrived.
+# On a slow processor, the writes of one sweep are planned within some tens of ms of each other,
+# unless one waits for its witness. With 0.03 s, hardly any writes were grouped.
+_GROUP_WINDOW_S = 0.25
+# The platform accepts 32 entries per call, and each write takes two: a condition and a value.
+_MAX_GROUP_SIZE = 15
 
 
 @dataclass(eq=False)
 class _Write:
-    """One item to write where it is still at ``condition``; ``error`` or ``revision`` ends it."""
+    """A pending write of one item, made only if the item is still at revision ``condition``.
+
+    When ``done``, it holds either the new ``revision`` or the ``error``.
+    """
 
     put: Put
     condition: int
@@ -25,61 +28,63 @@
     revision: int = 0
     error: AspengateError | None = field(default=None)
 
-    def end(self, *, revision: int = 0, error: AspengateError | None = None) -> None:
+    def complete(self, *, revision: int = 0, error: AspengateError | None = None) -> None:
         self.revision = revision
         self.error = error
         self.done = True
 
 
 class GroupedWrites:
-    """Makes writes that come at about the same time in one call; each ends as if it were alone.
+    """Groups writes that arrive at about the same time into one call.
 
-    ``expect`` tells how many are on their way, and ``arrived`` that one of these is over.
-    An urgent write waits for nothing; it takes along those that wait.
+    Each write succeeds or fails as if it had been made alone. ``expect`` announces writes to wait
+    for, and ``finish_expected`` reports that one of them has finished. An urgent write is made
+    without waiting, together with the writes collected so far. All methods are thread-safe.
     """
 
     def __init__(self, store: KeyValueStore) -> None:
         self._store = store
-        self._waiting: list[_Write] = []
+        self._pending: list[_Write] = []
         self._expected = 0
-        self._gathering = False
-        self._hurried = False
+        self._is_collecting = False
+        self._flush_requested = False
         self._changed = threading.Condition()
 
     def expect(self, count: int) -> None:
-        """Note that so many further writes may come."""
+        """Announce ``count`` further writes."""
         with self._changed:
             self._expected += count
 
     def finish_expected(self) -> None:
-        """Note that one of the expected writes is over, or will not come."""
+        """Record that one expected write has finished or will not be made."""
         with self._changed:
             self._expected -= 1
             self._changed.notify_all()
 
     def flush(self) -> None:
-        """Make what has come by now, since a request waits for one of the accounts."""
+        """Write the collected group now, since a request is waiting for one of the accounts."""
         with self._changed:
-            self._hurried = True
+            self._flush_requested = True
             self._changed.notify_all()
 
     def write(self, put: Put, condition: int, *, urgent: bool) -> int:
-        """Write an item that is still at revision ``condition``; return its new revision.
+        """Write an item if it is still at revision ``condition``; return its new revision.
 
-        Raises ConditionFailedError or AspengateError as ``KeyValueStore.transact`` does.
+        Blocks until the group is written. Raises ConditionFailedError or AspengateError as
+        ``KeyValueStore.transact`` does.
         """
         write = _Write(put, condition, urgent)
         with self._changed:
-            self._waiting.append(write)
+            self._pending.append(write)
             self._changed.notify_all()
-            while self._gathering and write in self._waiting:
+            while self._is_collecting and write in self._pending:
                 self._changed.wait()
-            together = self._gather() if write in self._waiting else []
-        if together:
+            group = self._collect_group() if write in self._pending else []
+        if group:
             try:
-                self._make(together)
+                self._write_group(group)
             finally:
-                self._end_all(together)
+                self._complete_group(group)
         with self._changed:
             while not write.done:
                 self._changed.wait()
@@ -87,60 +92,69 @@
             raise write.error
         return write.revision
 
-    def _gather(self) -> list[_Write]:
-        """Wait for others and return what is to be written; call it with the lock held."""
-        self._gathering = True
-        self._hurried = False
-        self._changed.wait_for(self._is_complete, _GATHER_S)
-        self._gathering = False
-        together = self._waiting[:_MOST_TOGETHER]
-        self._waiting = self._waiting[_MOST_TOGETHER:]
+    def _collect_group(self) -> list[_Write]:
+        """Wait for further writes and return the group to write; the lock is held."""
+        self._is_collecting = True
+        self._flush_requested = False
+        self._changed.wait_for(self._is_group_ready, _GROUP_WINDOW_S)
+        self._is_collecting = False
+        group = self._pending[:_MAX_GROUP_SIZE]
+        self._pending = self._pending[_MAX_GROUP_SIZE:]
         self._changed.notify_all()
-        return together
-
-    def _is_complete(self) -> bool:
-        urgent = any(write.urgent for write in self._waiting)
-        return urgent or self._hurried or len(self._waiting) >= min(self._expected, _MOST_TOGETHER)
-
-    def _end_all(self, together: list[_Write]) -> None:
-        """Wake up those who wait; a fault in the call ends their writes, done or not."""
-        for write in together:
+        return group
+
+    def _is_group_ready(self) -> bool:
+        urgent = any(write.urgent for write in self._pending)
+        return (
+            urgent
+            or self._flush_requested
+            or len(self._pending) >= min(self._expected, _MAX_GROUP_SIZE)
+        )
+
+    def _complete_group(self, group: list[_Write]) -> None:
+        """Wake the waiting writers; writes left undone by an unexpected exception fail."""
+        for write in group:
             if not write.done:
-                write.end(error=AspengateError(ErrorKind.OUTCOME_UNKNOWN, "a fault in the call"))
+                write.complete(
+                    error=AspengateError(ErrorKind.OUTCOME_UNKNOWN, "unexpected error in the call")
+                )
         with self._changed:
             self._changed.notify_all()
 
-    def _make(self, together: list[_Write]) -> None:
-        """Make the writes in one call, and again without those whose condition failed."""
-        while together:
-            conditions = {write.put.key: write.condition for write in together}
+    def _write_group(self, group: list[_Write]) -> None:
+        """Make the writes in one call, and retry without those whose condition failed."""
+        while group:
+            conditions = {write.put.key: write.condition for write in group}
             try:
-                revision = self._store.transact(conditions, tuple(w.put for w in together))
+                revision = self._store.transact(conditions, tuple(w.put for w in group))
             except ConditionFailedError as failure:
-                together = _without_failed(together, failure)
+                group = _without_failed(group, failure)
                 continue
             except AspengateError as error:
-                for write in together:
-                    write.end(error=error)
+                for write in group:
+                    write.complete(error=error)
                 return
-            for write in together:
-                write.end(revision=revision)
+            for write in group:
+                write.complete(revision=revision)
             return
 
 
-def _without_failed(together: list[_Write], failure: ConditionFailedError) -> list[_Write]:
-    """End the writes whose condition failed and return the others; one alone has failed."""
-    left = []
-    for write in together:
+def _without_failed(group: list[_Write], failure: ConditionFailedError) -> list[_Write]:
+    """Fail the writes whose condition does not hold, and return the others.
+
+    A group of one write always fails. If no condition is found to have failed, all writes fail.
+    """
+    remaining = []
+    for write in group:
         item: StoreItem | None = failure.items.get(write.put.key)
         is_current = (item.revision if item else 0) == write.condition
-        if is_current and len(together) > 1:
-            left.append(write)
+        if is_current and len(group) > 1:
+            remaining.append(write)
         else:
             present = {item.key: item} if item else {}
-            write.end(error=ConditionFailedError(present))
-    if len(left) == len(together):
-        for write in left:
-            write.end(error=failure)
+            write.complete(error=ConditionFailedError(present))
+    if len(remaining) == len(group):
+        for write in remaining:
+            write.complete(error=failure)
         return []
-    return left
+    return remaining
--- a/src/aspengate/store/_mirror.py
+++ b/src/aspengate/store/_mirror.py
@@ -1,4 +1,4 @@
-"""A local copy of the items below a prefix, kept current by a watch."""
+"""Mirrors the store's items below a prefix in memory, updated by a watch or by peers."""
 
 import enum
 import random
@@ -21,31 +21,30 @@
 from aspengate.store._unconfirmed import UnconfirmedItems, WriterOrder, no_order
 from aspengate.telemetry import Counters, lasting_thread, log_change
 
-_FIRST_PAUSE_MS = 50.0
-_LONGEST_PAUSE_MS = 1_500.0
-_PAUSE_GROWTH = 2.0
-# A watch that waits long tells late whether the store hears it: the first one after a failure
-# asks for an early answer.
-_PROBE_MS = 50
-# So many removals are remembered to tell other processes; more than the replicas of a large fleet.
-_MOST_REMOVALS = 4_096
-# How often a mirror that rests looks whether it still may where nothing wakes it up, in ms.
-_REST_LOOK_MS = 250.0
-# How long what was known is kept where a store that came back from an older copy holds something
-# else, in ms: the records of live replicas are back within about two seconds.
+_INITIAL_BACKOFF_MS = 50.0
+_MAX_BACKOFF_MS = 1_500.0
+_BACKOFF_FACTOR = 2.0
+# The first watch after a failure waits only this long, since a long watch would report late whether
+# the store is reachable.
+_PROBE_WATCH_MS = 50
+# The number of removals remembered for other processes: more than the replicas of a large fleet.
+_MAX_REMOVALS = 4_096
+# The interval at which a mirror that makes no calls checks its mode if nothing wakes it earlier.
+_MODE_POLL_MS = 250.0
+# How long known items are retained if a store restored from an older copy lacks them or holds
+# other values. The records of live replicas are written again within about 2 s.
 UNCONFIRMED_RETENTION_MS = 3_000.0
-# So many keys are told in a line.
-_MOST_KEPT_TOLD = 20
-# What a line tells of a fault, in characters.
-_MOST_TOLD = 300
+_MAX_LOGGED_KEYS = 20
+_MAX_LOGGED_CHARS = 300
 
 WatchChangesCallback = Callable[[int, Changes], None]
 
 
 class MirrorMode(enum.Enum):
-    """Where a mirror learns of changes: by own watches, from another process, or not yet at all.
+    """How a mirror receives changes.
 
-    One that is waiting makes no call; it learns shortly which of the two it is to be.
+    FOLLOWING: from its own watches of the store. TOLD: from another process. WAITING: not yet
+    decided; the mirror makes no calls until it is.
     """
 
     FOLLOWING = "following"
@@ -55,10 +54,11 @@
 
 @dataclass(frozen=True)
 class MirrorState:
-    """The items by key, as of the store's ``revision``; a revision of 0 means none are known.
+    """Holds the items by key as of the store's ``revision``; 0 means that none have been read.
 
-    ``changed`` is the revision of the newest change that is known below the prefix. ``kept`` is
-    what holds beside the items that the store has, after it came back from an older copy.
+    ``changed_revision`` is the revision of the newest known change below the prefix.
+    ``unconfirmed`` holds the items that apply in addition to those in the store, after it was
+    restored from an older copy.
     """
 
     items: Mapping[str, StoreItem] = field(default_factory=dict)
@@ -68,25 +68,25 @@
 
 
 class StoreMirror:
-    """Follows one prefix of the store on a thread of its own.
+    """Mirrors one prefix of the store, on its own thread.
 
-    ``on_change`` is called with each new state, on the thread that learned of it. A state from
-    another process may be handed in by ``offer``: revisions are the store's, so the higher one
-    is the later one, wherever it comes from.
+    ``on_change`` is called with each new state, on the thread that received the change. States and
+    changes from other processes can be passed to ``apply_snapshot`` and ``apply_changes``. All
+    revisions are the store's, so the higher one is the later one, whatever its source.
 
-    ``state`` holds what the store has. Where that came back from an older copy, the state that is
-    handed on holds what was known before as well, for ``keep_ms`` or until it is written again;
-    ``order`` tells which of two items its writer wrote later.
+    ``state`` holds the items in the store. If the store was restored from an older copy, the state
+    passed to ``on_change`` also contains the items known before, for ``retention_ms`` or until
+    they are written again; ``order`` decides which of two items its writer wrote later.
 
-    Each watch waits up to ``wait_ms``. After one that told changes the next begins as many
-    milliseconds later as ``gather_ms`` says then, so that changes which come together cost one
-    call. While the store does not answer it is asked again after pauses that grow up to what
-    ``longest_pause_ms`` says.
+    Each watch waits up to ``wait_ms``. After a watch that returned changes, the next one is delayed
+    by the result of ``coalesce_ms``, in ms, so that changes made at about the same time cost one
+    call. While the store does not answer, calls are retried with a backoff that grows up to the
+    result of ``max_backoff_ms``.
 
-    Unless its ``stance`` is to follow, the mirror makes no call: another process tells of changes
-    by ``apply`` and ``offer``. ``on_followed`` is called with what an own watch told, and the
-    revision of the newest change that was known before; ``on_news`` where an own call to the
-    store told more than a watch does: that it answers again or no more, or all items anew.
+    Unless ``mode`` returns FOLLOWING, the mirror makes no calls and relies on other processes.
+    ``on_watch_changes`` is called with the changes returned by the mirror's own watch, and the
+    revision of the newest change known before them. ``on_status_change`` is called when the store
+    has become reachable or unreachable, and after all items have been listed again.
     """
 
     def __init__(
@@ -99,7 +99,7 @@
         wait_ms: int,
         coalesce_ms: Callable[[], float] = lambda: 0.0,
         mode: Callable[[], MirrorMode] = lambda: MirrorMode.FOLLOWING,
-        max_backoff_ms: Callable[[], float] = lambda: _LONGEST_PAUSE_MS,
+        max_backoff_ms: Callable[[], float] = lambda: _MAX_BACKOFF_MS,
         retention_ms: float = UNCONFIRMED_RETENTION_MS,
         order: WriterOrder = no_order,
     ) -> None:
@@ -115,52 +115,52 @@
         self._counters = counters
         self._on_change = on_change
         self._lock = threading.Lock()
-        self._stance = mode
-        self._longest_pause_ms = max_backoff_ms
-        self._keep_ms = retention_ms
+        self._mode = mode
+        self._max_backoff_ms = max_backoff_ms
+        self._retention_ms = retention_ms
         self._order = order
-        self._kept = UnconfirmedItems()
-        # Keys that are known as removed, the last one removed last.
-        self._gone: OrderedDict[str, None] = OrderedDict()
-        self._proven = False
-        self._removals: deque[Removal] = deque(maxlen=_MOST_REMOVALS)
+        self._unconfirmed = UnconfirmedItems()
+        # Keys known to be removed, in the order of their removal.
+        self._removed_keys: OrderedDict[str, None] = OrderedDict()
+        self._last_watch_succeeded = False
+        self._removals: deque[Removal] = deque(maxlen=_MAX_REMOVALS)
         self._removals_since = 0
         self._wake = threading.Event()
         self._closing = threading.Event()
         self._thread = lasting_thread(self._run, f"mirror-{prefix}", counters)
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start the mirror's thread."""
         self._thread.start()
 
     def close(self) -> None:
-        """Stop following; a watch that is waiting ends by itself."""
+        """Stop the mirror's thread; it ends once its waiting watch is answered or times out."""
         self._closing.set()
         self._wake.set()
 
     def recheck_mode(self) -> None:
-        """Look at the stance at once."""
+        """Check the mode now instead of at the next poll."""
         self._wake.set()
 
     @property
     def last_watch_succeeded(self) -> bool:
-        """Whether the store answered the last watch of this mirror's own."""
-        return self._proven
+        """Whether the store answered this mirror's own last watch."""
+        return self._last_watch_succeeded
 
-    def apply_changes(self, after: int, changes: Changes) -> bool:
-        """Take over changes that another process saw; return whether they lead on from here.
+    def apply_changes(self, previous: int, changes: Changes) -> bool:
+        """Apply changes received from another process; return False if earlier ones are missing.
 
-        ``after`` is the revision of the newest change before them.
+        ``previous`` is the revision of the newest change before them.
         """
         with self._lock:
-            if not self.state.revision or self.state.revision < after:
+            if not self.state.revision or self.state.revision < previous:
                 return False
             if changes.revision > self.state.revision:
-                self._take(changes)
+                self._apply_locked(changes)
             return True
 
     def changes_since(self, revision: int) -> Changes | None:
-        """Return what has changed after ``revision``; None where that is not known any more."""
+        """Return the changes after ``revision``; None if they are no longer known."""
         with self._lock:
             if not 0 < self._removals_since <= revision:
                 return None
@@ -174,7 +174,7 @@
             return Changes(written, removed, self.state.revision)
 
     def apply_snapshot(self, snapshot: Snapshot) -> bool:
-        """Take over a whole state if it is newer than the one held; return whether it was."""
+        """Replace the state by a snapshot if that is newer; return whether it was."""
         with self._lock:
             if snapshot.revision <= self.state.revision:
                 return False
@@ -183,27 +183,27 @@
             was_known = self.state.revision > 0
             is_restored = was_known and era_of(snapshot.revision) > era_of(self.state.revision)
             if is_restored:
-                self._keep(items, snapshot.revision)
+                self._retain_unconfirmed(items, snapshot.revision)
             else:
-                self._kept = self._kept.after_snapshot(items)
+                self._unconfirmed = self._unconfirmed.after_snapshot(items)
             removed = set(self.state.items) - set(items)
-            removed |= {key for key, item in self._kept.items.items() if item is None}
-            self._note_gone(removed, items)
+            removed |= {key for key, item in self._unconfirmed.items.items() if item is None}
+            self._update_removed_keys(removed, items)
             newest = max((item.revision for item in snapshot.items), default=0)
             changed = max(newest, snapshot.changed_revision, self.state.changed_revision)
             self.state = MirrorState(items, snapshot.revision, changed)
             self._removals.clear()
             self._removals_since = snapshot.revision
             if differs or is_restored:
-                self._hand_on()
+                self._publish_state()
             return True
 
-    def _keep(self, stored: Mapping[str, StoreItem], revision: int) -> None:
-        """Keep what is known against what a store that came back holds; the lock is held."""
-        known = self._kept.overlay(self.state.items)
-        until_ms = self._clock.monotonic_ms() + self._keep_ms
-        self._kept = UnconfirmedItems.reconcile(
-            known, self._gone, stored, revision, until_ms, self._order
+    def _retain_unconfirmed(self, stored: Mapping[str, StoreItem], revision: int) -> None:
+        """Retain known items that a restored store does not confirm; the lock is held."""
+        known = self._unconfirmed.overlay(self.state.items)
+        expires_ms = self._clock.monotonic_ms() + self._retention_ms
+        self._unconfirmed = UnconfirmedItems.reconcile(
+            known, self._removed_keys, stored, revision, expires_ms, self._order
         )
         self._counters.count("mirror.restored")
         log_change(
@@ -212,49 +212,49 @@
             era=era_of(revision),
             revision=number_of(revision),
             known=number_of(self.state.revision),
-            kept=sorted(self._kept.items)[:_MOST_KEPT_TOLD],
+            kept=sorted(self._unconfirmed.items)[:_MAX_LOGGED_KEYS],
         )
 
-    def _end_kept(self) -> None:
-        """Take what was not written again in time for gone."""
-        if not self._kept.items or self._clock.monotonic_ms() < self._kept.expires_ms:
+    def _expire_unconfirmed(self) -> None:
+        """Drop items that were not written again before their expiry."""
+        if not self._unconfirmed.items or self._clock.monotonic_ms() < self._unconfirmed.expires_ms:
             return
         with self._lock:
-            ended, self._kept = self._kept, UnconfirmedItems()
-            self._note_gone(set(ended.items) - set(self.state.items), self.state.items)
+            expired, self._unconfirmed = self._unconfirmed, UnconfirmedItems()
+            self._update_removed_keys(set(expired.items) - set(self.state.items), self.state.items)
             log_change(
                 "store.kept_ended",
                 prefix=self.prefix,
-                kept=sorted(ended.items)[:_MOST_KEPT_TOLD],
+                kept=sorted(expired.items)[:_MAX_LOGGED_KEYS],
             )
-            self._hand_on()
+            self._publish_state()
 
-    def _note_gone(self, removed: Iterable[str], stored: Iterable[str]) -> None:
-        """Note which keys are known as removed, and which are not any more; the lock is held."""
+    def _update_removed_keys(self, removed: Iterable[str], stored: Iterable[str]) -> None:
+        """Add ``removed`` to the removed keys, and drop ``stored`` from them; the lock is held."""
         for key in stored:
-            self._gone.pop(key, None)
+            self._removed_keys.pop(key, None)
         for key in removed:
-            self._gone[key] = None
-        while len(self._gone) > _MOST_REMOVALS:
-            self._gone.popitem(last=False)
+            self._removed_keys[key] = None
+        while len(self._removed_keys) > _MAX_REMOVALS:
+            self._removed_keys.popitem(last=False)
 
     def _run(self) -> None:
-        pause_ms = _FIRST_PAUSE_MS
+        backoff_ms = _INITIAL_BACKOFF_MS
         listed = False
         while not self._closing.is_set():
             try:
-                self._end_kept()
-                stance = self._stance()
-                if stance is not MirrorMode.FOLLOWING:
+                self._expire_unconfirmed()
+                mode = self._mode()
+                if mode is not MirrorMode.FOLLOWING:
                     listed = listed or bool(self.state.revision)
-                    self._rest(stance)
+                    self._wait_for_mode_change(mode)
                     continue
-                if not listed or self._is_of_earlier_era:
+                if not listed or self._is_from_earlier_era:
                     self._list()
                     listed = True
-                has_changed = self._follow()
-                self._note_connected()
-                pause_ms = _FIRST_PAUSE_MS
+                has_changed = self._watch()
+                self._record_connected()
+                backoff_ms = _INITIAL_BACKOFF_MS
                 if has_changed:
                     self._closing.wait(self.coalesce_ms() / 1_000)
             except HistoryLostError:
@@ -266,32 +266,32 @@
                     revision=number_of(self.state.revision),
                 )
                 listed = False
-                self._closing.wait(_FIRST_PAUSE_MS / 1_000)
+                self._closing.wait(_INITIAL_BACKOFF_MS / 1_000)
             except AspengateError as error:
-                if listed and self._is_of_earlier_era:
-                    # Watches are ended where another call has shown that the store came back.
+                if listed and self._is_from_earlier_era:
+                    # Watches are aborted when another call shows that the store was restored.
                     listed = False
                     continue
-                self._note_lost(error)
-                self._closing.wait(pause_ms * random.uniform(0.5, 1.0) / 1_000)
-                pause_ms = min(pause_ms * _PAUSE_GROWTH, self._longest_pause_ms())
+                self._record_disconnected(error)
+                self._closing.wait(backoff_ms * random.uniform(0.5, 1.0) / 1_000)
+                backoff_ms = min(backoff_ms * _BACKOFF_FACTOR, self._max_backoff_ms())
             except Exception as error:
-                self._note_fault(error)
-                self._closing.wait(_LONGEST_PAUSE_MS / 1_000)
+                self._record_fault(error)
+                self._closing.wait(_MAX_BACKOFF_MS / 1_000)
 
     @property
-    def _is_of_earlier_era(self) -> bool:
+    def _is_from_earlier_era(self) -> bool:
         return era_of(self.state.revision) < self._store.era.current
 
-    def _rest(self, stance: MirrorMode) -> None:
-        """Make no call for a while; what another process tells counts as the store's word."""
-        self._proven = False
-        self.connected = stance is MirrorMode.TOLD and bool(self.state.revision)
-        self._wake.wait(_REST_LOOK_MS / 1_000)
+    def _wait_for_mode_change(self, mode: MirrorMode) -> None:
+        """Make no calls for a while; reports from another process count as a connection."""
+        self._last_watch_succeeded = False
+        self.connected = mode is MirrorMode.TOLD and bool(self.state.revision)
+        self._wake.wait(_MODE_POLL_MS / 1_000)
         self._wake.clear()
 
     def _list(self) -> None:
-        """Read all items; what was removed before is covered by the revision they are as of."""
+        """List all items; removals before the list are covered by its revision."""
         found = self._store.list_items(self.prefix)
         known = self.state.revision
         is_newer = self.apply_snapshot(replace(found, changed_revision=found.revision))
@@ -305,58 +305,60 @@
             is_newer=is_newer,
         )
         self.on_status_change()
-        if self._is_of_earlier_era:
+        if self._is_from_earlier_era:
             raise HistoryLostError(self.prefix)
 
-    def _follow(self) -> bool:
-        """Wait for changes and take them over; return whether there were any."""
-        wait_ms = self.wait_ms if self._proven else _PROBE_MS
-        if self._kept.items:
-            left_ms = self._kept.expires_ms - self._clock.monotonic_ms()
-            wait_ms = int(min(wait_ms, max(_PROBE_MS, left_ms)))
+    def _watch(self) -> bool:
+        """Wait for changes and apply them; return whether there were any."""
+        wait_ms = self.wait_ms if self._last_watch_succeeded else _PROBE_WATCH_MS
+        if self._unconfirmed.items:
+            remaining_ms = self._unconfirmed.expires_ms - self._clock.monotonic_ms()
+            wait_ms = int(min(wait_ms, max(_PROBE_WATCH_MS, remaining_ms)))
         changes = self._store.changes(self.prefix, self.state.revision, wait_ms)
         with self._lock:
             if changes.revision <= self.state.revision:
                 return False
-            after = self.state.changed_revision
-            self._take(changes)
+            previous = self.state.changed_revision
+            self._apply_locked(changes)
         has_changed = bool(changes.written or changes.removed)
         if has_changed:
-            self.on_watch_changes(after, changes)
+            self.on_watch_changes(previous, changes)
         return has_changed
 
-    def _take(self, changes: Changes) -> None:
-        """Take over changes; call it with the lock held."""
+    def _apply_locked(self, changes: Changes) -> None:
+        """Apply changes and publish the new state; the lock is held."""
         items = dict(self.state.items)
-        overflow = len(self._removals) + len(changes.removed) - _MOST_REMOVALS
+        overflow = len(self._removals) + len(changes.removed) - _MAX_REMOVALS
         if overflow > 0:
             self._removals_since = changes.revision
         self._removals.extend(changes.removed)
-        self._kept = self._kept.after_changes(changes)
-        self._note_gone(
+        self._unconfirmed = self._unconfirmed.after_changes(changes)
+        self._update_removed_keys(
             (each.key for each in changes.removed), (each.key for each in changes.written)
         )
-        changed = max(_apply(changes, items), self.state.changed_revision)
+        changed = max(_merge(changes, items), self.state.changed_revision)
         self.state = MirrorState(items, changes.revision, changed)
         if changes.written or changes.removed:
-            self._hand_on()
+            self._publish_state()
 
-    def _hand_on(self) -> None:
-        """Hand a new state to its owner; a fault there must not end the thread that follows."""
+    def _publish_state(self) -> None:
+        """Pass the new state to ``on_change``; its exceptions must not end the mirror thread."""
         state = self.state
-        if self._kept.items:
-            state = replace(state, items=self._kept.overlay(state.items), unconfirmed=self._kept)
+        if self._unconfirmed.items:
+            state = replace(
+                state, items=self._unconfirmed.overlay(state.items), unconfirmed=self._unconfirmed
+            )
         try:
             self._on_change(state)
         except Exception as error:
-            self._note_fault(error)
+            self._record_fault(error)
 
-    def _note_fault(self, error: Exception) -> None:
+    def _record_fault(self, error: Exception) -> None:
         self._counters.count("mirror.faults")
-        log_change("mirror.fault", prefix=self.prefix, error=repr(error)[:_MOST_TOLD])
+        log_change("mirror.fault", prefix=self.prefix, error=repr(error)[:_MAX_LOGGED_CHARS])
 
-    def _note_connected(self) -> None:
-        was_proven, self._proven = self._proven, True
+    def _record_connected(self) -> None:
+        succeeded_before, self._last_watch_succeeded = self._last_watch_succeeded, True
         if not self.connected:
             self.connected = True
             log_change(
@@ -365,20 +367,20 @@
                 era=era_of(self.state.revision),
                 revision=number_of(self.state.revision),
             )
-        if not was_proven:
+        if not succeeded_before:
             self.on_status_change()
 
-    def _note_lost(self, error: AspengateError) -> None:
+    def _record_disconnected(self, error: AspengateError) -> None:
         self._counters.count("mirror.failed")
-        self._proven = False
+        self._last_watch_succeeded = False
         if self.connected:
             self.connected = False
             log_change("store.lost", prefix=self.prefix, error=str(error))
             self.on_status_change()
 
 
-def _apply(changes: Changes, items: dict[str, StoreItem]) -> int:
-    """Apply changes by revision, so that what is already known is not undone by older news.
+def _merge(changes: Changes, items: dict[str, StoreItem]) -> int:
+    """Merge changes into ``items`` by revision, so that older changes do not undo newer ones.
 
     Return the revision of the newest change.
     """
--- a/src/aspengate/store/_outages.py
+++ b/src/aspengate/store/_outages.py
@@ -1,4 +1,4 @@
-"""What was seen of the times in which the store answered no router."""
+"""Records outages of the store, and forecasts the next one from them."""
 
 import threading
 from dataclasses import dataclass
@@ -6,22 +6,21 @@
 from aspengate.clock import Clock
 from aspengate.telemetry import log_change
 
-# Shorter ones, in ms, are lost answers and changes of a leader, which nothing has to be kept for.
-_LEAST_MS = 1_500.0
-# A connection on which nothing comes any more is given up after so long, in ms: an outage is that
-# much older when it is noticed.
-_UNNOTICED_MS = 3_000.0
-# How long the store is taken to answer after an outage before two were seen, in ms: as long as the
-# usual reserve lasts. A choice; the shortest calm that is seen takes its place.
-_FIRST_CALM_MS = 10_000.0
+# Shorter interruptions are lost answers and leader elections, for which no reserve is needed.
+_MIN_OUTAGE_MS = 1_500.0
+# A dead connection is detected after this time, so an outage began that much before it was noticed.
+_DETECTION_MS = 3_000.0
+# The assumed time between two outages until two have been seen: the time that the usual reserve
+# lasts. Afterwards the shortest observed time is used if it is less.
+_INITIAL_CALM_MS = 10_000.0
 
 
 @dataclass(frozen=True)
 class OutageForecast:
-    """What is to be kept for another outage.
+    """Describes the outage that token reserves must cover.
 
-    ``length_ms`` is the longest one that was seen, 0 where none was. ``readiness``, 0 to 1, is the
-    part of the shortest calm between two that has passed since the last one ended.
+    ``length_ms`` is the length of the longest outage seen, 0 if there was none. ``readiness``, 0 to
+    1, is the time since the last outage ended as a fraction of the shortest time between two.
     """
 
     length_ms: float = 0.0
@@ -29,28 +28,28 @@
 
 
 class OutageHistory:
-    """Outages of the store for the whole fleet, as this router saw them in its life."""
+    """Records the outages of the store for the whole fleet since this router started."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._began_ms: float | None = None
         self._ended_ms: float | None = None
         self._longest_ms = 0.0
-        self._shortest_calm_ms = _FIRST_CALM_MS
+        self._shortest_calm_ms = _INITIAL_CALM_MS
         self._lock = threading.Lock()
 
     def record(self, *, answered: bool) -> None:
-        """Note whether the store answers any router now; call it some times in a second."""
+        """Record whether the store answers any router now; call this several times a second."""
         now = self._clock.monotonic_ms()
         with self._lock:
             if not answered and self._began_ms is None:
                 self._began_ms = now
             elif answered and self._began_ms is not None:
-                self._end(self._began_ms, now)
+                self._record_outage(self._began_ms, now)
 
     @property
     def forecast(self) -> OutageForecast:
-        """What is to be kept for another outage."""
+        """The outage that reserves must currently cover."""
         now = self._clock.monotonic_ms()
         with self._lock:
             if self._ended_ms is None:
@@ -58,13 +57,14 @@
             passed = (now - self._ended_ms) / self._shortest_calm_ms
             return OutageForecast(self._longest_ms, min(1.0, passed))
 
-    def _end(self, began_ms: float, now: float) -> None:
+    def _record_outage(self, began_ms: float, now: float) -> None:
+        """Record an outage that ended at ``now``, in monotonic ms; the lock is held."""
         self._began_ms = None
-        if now - began_ms < _LEAST_MS:
+        if now - began_ms < _MIN_OUTAGE_MS:
             return
-        length_ms = now - began_ms + _UNNOTICED_MS
+        length_ms = now - began_ms + _DETECTION_MS
         if self._ended_ms is not None:
-            calm_ms = max(_LEAST_MS, began_ms - self._ended_ms)
+            calm_ms = max(_MIN_OUTAGE_MS, began_ms - self._ended_ms)
             self._shortest_calm_ms = min(self._shortest_calm_ms, calm_ms)
         self._ended_ms = now
         self._longest_ms = max(self._longest_ms, length_ms)
--- a/src/aspengate/store/_port.py
+++ b/src/aspengate/store/_port.py
@@ -1,4 +1,4 @@
-"""What the product asks of a key-value store, and the values that cross this border."""
+"""The interface of a key-value store and the values that it exchanges."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class StoreItem:
-    """One key with its value, as of ``revision``, that of its last change (``make_revision``)."""
+    """A key with its value; ``revision`` is that of its last change (see ``make_revision``)."""
 
     key: str
     value: bytes
@@ -20,9 +20,9 @@
 
 @dataclass(frozen=True)
 class Snapshot:
-    """All items below a prefix. Every change up to ``revision`` is in it.
+    """Holds all items below a prefix, including every change up to ``revision``.
 
-    ``changed`` is the revision of the newest change below the prefix, where that is known.
+    ``changed_revision`` is the revision of the newest change below the prefix, or 0 if unknown.
     """
 
     items: tuple[StoreItem, ...]
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class Changes:
-    """What has changed below a prefix up to ``revision``: items written and keys removed."""
+    """Holds the changes below a prefix up to ``revision``: items written and keys removed."""
 
     written: tuple[StoreItem, ...]
     removed: tuple[Removal, ...]
@@ -56,7 +56,7 @@
 
 
 class ConditionFailedError(AspengateError):
-    """A transaction's condition did not hold; ``items`` are the present values by key."""
+    """Raised when a transaction's condition fails; ``items`` holds the current items by key."""
 
     def __init__(self, items: Mapping[str, StoreItem]) -> None:
         super().__init__(ErrorKind.CONFLICT, "another write came first")
@@ -66,12 +66,13 @@
 class KeyValueStore(Protocol):
     """A store with revisions, prefix watches and conditional writes.
 
-    Every call may raise AspengateError of kind STORE_UNAVAILABLE, which promises that nothing
-    was done. ``last_answer_ms`` is when the store last did what it was asked, in monotonic
-    milliseconds. ``calls`` counts the calls made, by what they do.
+    Every call may raise AspengateError of kind STORE_UNAVAILABLE, which guarantees that nothing
+    was changed. ``last_answer_ms`` is the time of the last successful call, in monotonic
+    milliseconds. ``calls`` counts the calls made, by kind.
 
-    A store may come back from an older copy of itself: ``era`` tells which history it names.
-    Revisions hold theirs, and a call with one of an earlier history fails without being made.
+    The store may be restored from an older copy of its data; ``era`` holds which history it names.
+    A revision contains its era, and a call with a revision of an earlier era fails without being
+    sent.
     """
 
     last_answer_ms: float
@@ -79,13 +80,13 @@
     era: StoreEra
 
     def get(self, key: str) -> StoreItem | None:
-        """Return the item under ``key``, if any; the read is linearizable."""
+        """Return the item under ``key``, or None; the read is linearizable."""
 
     def probe(self) -> None:
-        """Ask for the cheapest answer there is; raises STORE_UNAVAILABLE where none comes."""
+        """Make the cheapest possible call; raises STORE_UNAVAILABLE if it is not answered."""
 
     def abort_watches(self) -> None:
-        """Have the calls of ``changes`` that wait fail, so that they are made anew."""
+        """Make waiting calls of ``changes`` fail, so that their callers retry them."""
 
     def list_items(self, prefix: str) -> Snapshot:
         """Return the items whose keys begin with ``prefix``."""
@@ -93,16 +94,16 @@
     def changes(self, prefix: str, since: int, wait_ms: int) -> Changes:
         """Wait up to ``wait_ms`` for changes after revision ``since``.
 
-        Raises HistoryLostError where they are no longer known, or ``since`` is of another history.
+        Raises HistoryLostError if they are no longer available, or ``since`` is of another era.
         """
 
     def transact(self, conditions: Mapping[str, int], puts: tuple[Put, ...]) -> int:
         """Write all ``puts`` if each key in ``conditions`` is still at its revision.
 
-        A revision of 0 means that the key is absent. Return the new revision. Raises
-        ConditionFailedError, or OUTCOME_UNKNOWN where the write may have been done, or may
-        still be done while its conditions hold: in a later history they may hold by chance.
+        A revision of 0 means that the key is absent. Returns the new revision. Raises
+        ConditionFailedError, or OUTCOME_UNKNOWN if the write may have been made or may still be
+        made while its conditions hold; in a later era they may hold by coincidence.
         """
 
     def remove(self, key: str) -> None:
-        """Remove ``key`` where it is there."""
+        """Remove ``key`` if it exists."""
--- a/src/aspengate/store/_revision.py
+++ b/src/aspengate/store/_revision.py
@@ -1,28 +1,29 @@
-"""Revisions of a store that may come back from an older copy of itself.
-
-The store counts its changes, and counts anew from the copy's number where it comes back from one:
-the same number then stands for another change. It names each such history by a rising number, its
-*era*. A revision here holds both, the era above the number, so that two of them are equal only
-within one history, and one of a later history is later than any of an earlier one. That a state is
-later does not mean that its values are newer: see ``KeptItems``.
+"""Combines the store's era and its change number into one ordered revision.
+
+The store numbers its changes. After it is restored from an older copy of its data, it continues
+from the copy's number, so the same number then identifies another change. The store names each such
+history by an increasing number, its *era*. A revision holds the era in the high bits and the number
+in the low bits: two revisions are equal only within one era, and every revision of a later era is
+greater than those of earlier ones. A greater revision does not imply newer values: see
+``UnconfirmedItems``.
 """
 
 _NUMBER_BITS = 40
-_MOST_NUMBER = (1 << _NUMBER_BITS) - 1
-# The highest history whose revisions fit into 63 bits, as messages and documents hold them.
+_NUMBER_MASK = (1 << _NUMBER_BITS) - 1
+# The highest era whose revisions fit into the 63 bits that messages and documents hold.
 MAX_ERA = (1 << (63 - _NUMBER_BITS)) - 1
 
 
 def make_revision(era: int, number: int) -> int:
-    """Return the revision of the change ``number`` in the history ``era``."""
+    """Return the revision of the change ``number`` in ``era``."""
     return era << _NUMBER_BITS | number
 
 
 def era_of(revision: int) -> int:
-    """Return the history that a revision belongs to; 0 where the store names none."""
+    """Return the era of a revision; 0 if the store names none."""
     return revision >> _NUMBER_BITS
 
 
 def number_of(revision: int) -> int:
-    """Return the store's own number of a revision, which means nothing in another history."""
-    return revision & _MOST_NUMBER
+    """Return the store's own change number of a revision, which is valid only in its era."""
+    return revision & _NUMBER_MASK
--- a/src/aspengate/store/_timeout.py
+++ b/src/aspengate/store/_timeout.py
@@ -1,44 +1,46 @@
-"""How long to wait for one answer of the store, found from how long answers take."""
+"""An answer timeout that adapts to the store's response times."""
 
 import threading
 
-_LEAST_MS = 200.0
-_FIRST_MS = 400.0
-_FACTOR = 6.0
+_MIN_TIMEOUT_MS = 200.0
+_INITIAL_TIMEOUT_MS = 400.0
+_MEAN_FACTOR = 6.0
 _MARGIN_MS = 100.0
-_WEIGHT = 0.2
-_BACK_OFF = 2.0
+_NEW_SAMPLE_WEIGHT = 0.2
+_BACKOFF_FACTOR = 2.0
 
 
 class AdaptiveTimeout:
-    """A timeout that follows the answers' times and doubles with each one that is missed.
+    """Computes a timeout from the mean response time, doubled for each consecutive timeout.
 
-    A lost answer is noticed soon while the store is quick, and one that is only slow is waited
-    for. ``most_ms`` bounds it.
+    Lost answers are detected early while the store is fast, and slow answers are still awaited.
+    ``max_ms`` is the upper bound. All methods are thread-safe.
     """
 
     def __init__(self, max_ms: float) -> None:
         self.max_ms = max_ms
-        self._usual_ms: float | None = None
-        self._back_off = 1.0
+        self._mean_ms: float | None = None
+        self._backoff = 1.0
         self._lock = threading.Lock()
 
     @property
     def value_ms(self) -> float:
-        """The time to wait for the next answer, in milliseconds."""
+        """The timeout for the next answer, in milliseconds."""
         with self._lock:
-            first = self._usual_ms is None
-            usual = _FIRST_MS if first else (self._usual_ms or 0.0) * _FACTOR + _MARGIN_MS
-            return min(self.max_ms, max(_LEAST_MS, usual) * self._back_off)
+            first = self._mean_ms is None
+            base = (
+                _INITIAL_TIMEOUT_MS if first else (self._mean_ms or 0.0) * _MEAN_FACTOR + _MARGIN_MS
+            )
+            return min(self.max_ms, max(_MIN_TIMEOUT_MS, base) * self._backoff)
 
     def record_answer(self, duration_ms: float) -> None:
-        """Take the time of an answer that came."""
+        """Add the response time of an answer to the moving mean, and reset the backoff."""
         with self._lock:
-            usual = duration_ms if self._usual_ms is None else self._usual_ms
-            self._usual_ms = usual + _WEIGHT * (duration_ms - usual)
-            self._back_off = 1.0
+            mean = duration_ms if self._mean_ms is None else self._mean_ms
+            self._mean_ms = mean + _NEW_SAMPLE_WEIGHT * (duration_ms - mean)
+            self._backoff = 1.0
 
     def record_timeout(self) -> None:
-        """Note that no answer came in time."""
+        """Double the timeout after an answer that did not arrive in time."""
         with self._lock:
-            self._back_off = min(self._back_off * _BACK_OFF, self.max_ms / _LEAST_MS)
+            self._backoff = min(self._backoff * _BACKOFF_FACTOR, self.max_ms / _MIN_TIMEOUT_MS)
--- a/src/aspengate/store/_unanswered.py
+++ b/src/aspengate/store/_unanswered.py
@@ -1,26 +1,25 @@
-"""When calls to the store that get no answer put the watches that wait for it in doubt."""
+"""Decides after how many unanswered calls waiting watches are aborted."""
 
-# So many calls in a row without an answer: one may be lost by itself, or meet a store that has
-# just become slow.
-_UNANSWERED = 2
+# A single unanswered call may be one lost packet, or a store that has just become slow.
+_MAX_UNANSWERED = 2
 
 
 class UnansweredCallCounter:
-    """Counts the calls in a row that got no answer.
+    """Counts consecutive calls that got no answer.
 
-    The connections of watches that wait probably say nothing any more either, after two such
-    calls. Ended then, their callers ask anew and learn at once whether the store answers, instead
-    of waiting for keep-alive.
+    After two of them, the connections of waiting watches are probably dead as well. Aborting those
+    watches makes their callers retry and find out at once whether the store answers, instead of
+    waiting for TCP keep-alive to fail. The caller must serialize access.
     """
 
     def __init__(self) -> None:
         self._unanswered = 0
 
     def record_answer(self) -> None:
-        """Note an answer."""
+        """Reset the count after an answered call."""
         self._unanswered = 0
 
     def record_unanswered(self) -> bool:
-        """Note a call without an answer; return whether waiting watches are to be ended."""
+        """Count an unanswered call; return whether waiting watches must be aborted."""
         self._unanswered += 1
-        return self._unanswered >= _UNANSWERED
+        return self._unanswered >= _MAX_UNANSWERED
--- a/src/aspengate/store/_unconfirmed.py
+++ b/src/aspengate/store/_unconfirmed.py
@@ -1,27 +1,28 @@
-"""What is known of items that a store which came back from an older copy holds otherwise."""
+"""Keeps known items that a store restored from an older copy has lost or holds differently."""
 
 from collections.abc import Callable, Collection, Mapping
 from dataclasses import dataclass, field
 
 from aspengate.store._port import Changes, StoreItem
 
-# Returns how a writer orders what it writes under one key, None where it does not.
+# Returns a sort key that increases with each write of an item by its writer; None if unavailable.
 WriterOrder = Callable[[StoreItem], tuple[int, ...] | None]
 
 
 def no_order(_: StoreItem) -> tuple[int, ...] | None:
-    """Return that nothing is known of the order in which a writer wrote."""
+    """Return None: the order of the writes is unknown."""
     return None
 
 
 @dataclass(frozen=True)
 class UnconfirmedItems:
-    """Items by key as they were known before the store came back, None for a removed one.
+    """Holds items by key as they were known before the store was restored; None if removed.
 
-    Until its writer has written an item again, the copy's one is older. The store does not tell
-    copied items from those written since, but for what is later than ``baseline``, the revision at
-    which it was first read. ``stored`` are the revisions of the items that it held then. After
-    ``until_ms``, in monotonic milliseconds, what has not been written again is taken for gone.
+    Until its writer writes an item again, the restored copy's version is older than the known one.
+    The store does not distinguish copied items from those written since the restore, except those
+    written after ``baseline``, the revision of the first read. ``stored`` holds the revisions of
+    the items that the store had at that read. After ``expires_ms``, in monotonic milliseconds,
+    the stored items apply; those that were not written again by then are considered removed.
     """
 
     items: Mapping[str, StoreItem | None] = field(default_factory=dict)
@@ -36,10 +37,10 @@
         removed: Collection[str],
         stored: Mapping[str, StoreItem],
         baseline: int,
-        until_ms: float,
+        expires_ms: float,
         order: WriterOrder = no_order,
     ) -> "UnconfirmedItems":
-        """Return what of ``known`` and ``removed`` is to be kept against what is stored."""
+        """Return the ``known`` items and ``removed`` keys that ``stored`` does not confirm."""
         items: dict[str, StoreItem | None] = {
             key: item
             for key, item in known.items()
@@ -47,22 +48,22 @@
         }
         items.update({key: None for key in removed if key in stored and key not in known})
         revisions = {key: item.revision for key, item in stored.items()}
-        return cls(items, revisions, baseline, until_ms)
+        return cls(items, revisions, baseline, expires_ms)
 
     def overlay(self, stored: Mapping[str, StoreItem]) -> dict[str, StoreItem]:
-        """Return the items that hold: those kept, and of the others what is stored."""
+        """Return the stored items, with the unconfirmed ones replaced or removed."""
         items = {key: item for key, item in stored.items() if key not in self.items}
         items.update({key: item for key, item in self.items.items() if item is not None})
         return items
 
     def after_changes(self, changes: Changes) -> "UnconfirmedItems":
-        """Return what is still to be kept after changes in the new history."""
+        """Return the items that are still unconfirmed after changes in the new era."""
         changed = {each.key for each in changes.written if each.revision > self.baseline}
         changed |= {each.key for each in changes.removed if each.revision > self.baseline}
         return self._without(changed)
 
     def after_snapshot(self, stored: Mapping[str, StoreItem]) -> "UnconfirmedItems":
-        """Return what is still to be kept beside a later state of the new history."""
+        """Return the items that are still unconfirmed after a later snapshot of the new era."""
         written = {key for key, item in stored.items() if item.revision > self.baseline}
         return self._without(written | (set(self.stored) - set(stored)))
 
@@ -74,7 +75,7 @@
 
 
 def _is_superseded(known: StoreItem, stored: StoreItem | None, order: WriterOrder) -> bool:
-    """Return whether what is stored under a key is what is known of it, or newer."""
+    """Return whether the stored item equals the known one or was written later."""
     if stored is None:
         return False
     if stored.value == known.value:
--- a/src/aspengate/store/_values.py
+++ b/src/aspengate/store/_values.py
@@ -1,4 +1,4 @@
-"""Reads the values of store items, whoever wrote them."""
+"""Decodes the values of store items, which other programs may have written."""
 
 from typing import TypeVar
 
@@ -6,13 +6,13 @@
 
 from aspengate.errors import AspengateError, ErrorKind
 
-# No value that this program reads is longer, but the operator's configuration.
+# Only the operator's configuration may be longer.
 MAX_VALUE_BYTES = 64 * 1024
-# What is told of a value that can't be read: an error may quote all of it.
-_MOST_TOLD = 200
+# The codec's error may quote the whole value, so the message is cut to this length.
+_MAX_MESSAGE_CHARS = 200
 
-# What the codec raises for bytes that it can't read: also for text that is no UTF-8, and for lists
-# within lists without end.
+# Raised by the codec for malformed bytes: ValueError covers text that is not UTF-8, and
+# RecursionError too deeply nested lists.
 DECODE_ERRORS = (msgspec.MsgspecError, ValueError, RecursionError)
 
 _Value = TypeVar("_Value")
@@ -21,16 +21,16 @@
 def decode_value(
     value: bytes, kind: type[_Value], where: str, max_bytes: int = MAX_VALUE_BYTES
 ) -> _Value:
-    """Return what a JSON value holds; raises BAD_REQUEST for any other bytes.
+    """Decode a JSON value as ``kind``; raises BAD_REQUEST for malformed or too long bytes.
 
-    Lists within lists without end are an error like any other: as a RecursionError they ended the
-    thread that followed the list of replicas.
+    Too deeply nested lists are reported in the same way. As an uncaught RecursionError they used
+    to terminate the thread that watches the list of replicas.
     """
     if len(value) > max_bytes:
-        message = f"has {len(value)} bytes, {max_bytes} at most"
+        message = f"value has {len(value)} bytes, the maximum is {max_bytes}"
         raise AspengateError(ErrorKind.BAD_REQUEST, message, where=where)
     try:
         return msgspec.json.decode(value, type=kind)
     except DECODE_ERRORS as error:
-        message = str(error)[:_MOST_TOLD]
+        message = str(error)[:_MAX_MESSAGE_CHARS]
         raise AspengateError(ErrorKind.BAD_REQUEST, message, where=where) from error
