--- a/src/aspengate/allowances/_balance.py
+++ b/src/aspengate/allowances/_balance.py
@@ -5,12 +5,12 @@
 from aspengate.allowances._document import AllowanceDocument
 from aspengate.allowances._sizing import AllocationState, AllowanceSizing, Demand
 from aspengate.errors import AspengateError, ErrorKind
-from aspengate.store import OutageOutlook
+from aspengate.store import OutageForecast
 
 _RATE_HALF_LIFE_MS = 10_000.0
 _REQUEST_SIZE_WEIGHT = 0.2
 _MIN_AGE_MS = 5_000.0
-NO_OUTAGE = OutageOutlook()
+NO_OUTAGE = OutageForecast()
 
 
 class TokenBalance:
@@ -138,7 +138,7 @@
         *,
         idle: bool,
         is_primary: bool = False,
-        outage: OutageOutlook = NO_OUTAGE,
+        outage: OutageForecast = NO_OUTAGE,
     ) -> int:
         """Return the allowance to request from the store, at least the committed tokens.
 
--- a/src/aspengate/gateway/prepaid/_supply.py
+++ b/src/aspengate/gateway/prepaid/_supply.py
@@ -168,7 +168,7 @@
     def schedule(self, account: Account) -> None:
         """Start writing the account's document immediately."""
         if account.is_being_written:
-            self.writer.writes.hurry()
+            self.writer.writes.flush()
             return
         if account.balance.frozen:
             return
@@ -203,7 +203,7 @@
             self.writer.process(account)
         finally:
             if swept:
-                self.writer.writes.arrived()
+                self.writer.writes.finish_expected()
             with account.changed:
                 account.is_being_written = False
                 account.changed.notify_all()
--- a/src/aspengate/gateway/prepaid/_writer.py
+++ b/src/aspengate/gateway/prepaid/_writer.py
@@ -28,7 +28,7 @@
     ConditionFailedError,
     GroupedWrites,
     KeyValueStore,
-    OutageOutlook,
+    OutageForecast,
     Put,
     StoreItem,
     era_of,
@@ -78,7 +78,7 @@
         self.session = session
         self.restorer = restorer
         self.routers = 1
-        self.outage_outlook: Callable[[], OutageOutlook] = OutageOutlook
+        self.outage_outlook: Callable[[], OutageForecast] = OutageForecast
         self.announce_grant: Callable[[Grant], None] = lambda _: None
         self.on_restored: Callable[[], None] = lambda: None
         self.borrow_from_holders: Callable[[Account, float], bool] = lambda *_: False
@@ -100,9 +100,9 @@
         It does for some time after a failed call. If no other calls reach the store either, it does
         until the store answers one of them.
         """
-        if not self._reaches_store() and now - self._store.answered_ms > _DOWN_AFTER_FAILURE_MS:
+        if not self._reaches_store() and now - self._store.last_answer_ms > _DOWN_AFTER_FAILURE_MS:
             return True
-        if self._store.answered_ms > self._failed_ms:
+        if self._store.last_answer_ms > self._failed_ms:
             return False
         down_ms = _DOWN_AFTER_FAILURE_MS if self._reaches_store() else _DOWN_WHILE_UNREACHABLE_MS
         return now - self._failed_ms < down_ms
--- a/src/aspengate/store/_kept.py
+++ b/src/aspengate/store/_unconfirmed.py
@@ -1,45 +1,46 @@
-"""What is known of items that a store which came back from an older copy holds otherwise."""
+"""Keeps known items that a store restored from an older copy has lost or holds differently."""
 
 from collections.abc import Callable, Collection, Mapping
 from dataclasses import dataclass, field
 
 from aspengate.store._port import Changes, StoreItem
 
-# Returns how a writer orders what it writes under one key, None where it does not.
+# Returns a sort key that increases with each write of an item by its writer; None if unavailable.
 WriterOrder = Callable[[StoreItem], tuple[int, ...] | None]
 
 
 def no_order(_: StoreItem) -> tuple[int, ...] | None:
-    """Return that nothing is known of the order in which a writer wrote."""
+    """Return None: the order of the writes is unknown."""
     return None
 
 
 @dataclass(frozen=True)
-class KeptItems:
-    """Items by key as they were known before the store came back, None for a removed one.
-
-    Until its writer has written an item again, the copy's one is older. The store does not tell
-    copied items from those written since, but for what is later than ``baseline``, the revision at
-    which it was first read. ``stored`` are the revisions of the items that it held then. After
-    ``until_ms``, in monotonic milliseconds, what has not been written again is taken for gone.
+class UnconfirmedItems:
+    """Holds items by key as they were known before the store was restored; None if removed.
+
+    Until its writer writes an item again, the restored copy's version is older than the known one.
+    The store does not distinguish copied items from those written since the restore, except those
+    written after ``baseline``, the revision of the first read. ``stored`` holds the revisions of
+    the items that the store had at that read. After ``expires_ms``, in monotonic milliseconds,
+    the stored items apply; those that were not written again by then are considered removed.
     """
 
     items: Mapping[str, StoreItem | None] = field(default_factory=dict)
     stored: Mapping[str, int] = field(default_factory=dict)
     baseline: int = 0
-    until_ms: float = 0.0
+    expires_ms: float = 0.0
 
     @classmethod
-    def of(
+    def reconcile(
         cls,
         known: Mapping[str, StoreItem],
         removed: Collection[str],
         stored: Mapping[str, StoreItem],
         baseline: int,
-        until_ms: float,
+        expires_ms: float,
         order: WriterOrder = no_order,
-    ) -> "KeptItems":
-        """Return what of ``known`` and ``removed`` is to be kept against what is stored."""
+    ) -> "UnconfirmedItems":
+        """Return the ``known`` items and ``removed`` keys that ``stored`` does not confirm."""
         items: dict[str, StoreItem | None] = {
             key: item
             for key, item in known.items()
@@ -47,34 +48,34 @@
         }
         items.update({key: None for key in removed if key in stored and key not in known})
         revisions = {key: item.revision for key, item in stored.items()}
-        return cls(items, revisions, baseline, until_ms)
+        return cls(items, revisions, baseline, expires_ms)
 
-    def over(self, stored: Mapping[str, StoreItem]) -> dict[str, StoreItem]:
-        """Return the items that hold: those kept, and of the others what is stored."""
+    def overlay(self, stored: Mapping[str, StoreItem]) -> dict[str, StoreItem]:
+        """Return the stored items, with the unconfirmed ones replaced or removed."""
         items = {key: item for key, item in stored.items() if key not in self.items}
         items.update({key: item for key, item in self.items.items() if item is not None})
         return items
 
-    def after(self, changes: Changes) -> "KeptItems":
-        """Return what is still to be kept after changes in the new history."""
+    def after_changes(self, changes: Changes) -> "UnconfirmedItems":
+        """Return the items that are still unconfirmed after changes in the new era."""
         changed = {each.key for each in changes.written if each.revision > self.baseline}
         changed |= {each.key for each in changes.removed if each.revision > self.baseline}
         return self._without(changed)
 
-    def beside(self, stored: Mapping[str, StoreItem]) -> "KeptItems":
-        """Return what is still to be kept beside a later state of the new history."""
+    def after_snapshot(self, stored: Mapping[str, StoreItem]) -> "UnconfirmedItems":
+        """Return the items that are still unconfirmed after a later snapshot of the new era."""
         written = {key for key, item in stored.items() if item.revision > self.baseline}
         return self._without(written | (set(self.stored) - set(stored)))
 
-    def _without(self, keys: Collection[str]) -> "KeptItems":
+    def _without(self, keys: Collection[str]) -> "UnconfirmedItems":
         if not any(key in self.items for key in keys):
             return self
         items = {key: item for key, item in self.items.items() if key not in keys}
-        return KeptItems(items, self.stored, self.baseline, self.until_ms)
+        return UnconfirmedItems(items, self.stored, self.baseline, self.expires_ms)
 
 
 def _is_superseded(known: StoreItem, stored: StoreItem | None, order: WriterOrder) -> bool:
-    """Return whether what is stored under a key is what is known of it, or newer."""
+    """Return whether the stored item equals the known one or was written later."""
     if stored is None:
         return False
     if stored.value == known.value:
