--- a/features/steps/choice_steps.py
+++ b/features/steps/choice_steps.py
@@ -9,13 +9,13 @@
 from hypothesis import strategies as st
 
 from aspengate.replicas import (
-    PartMemory,
+    FirstTokenModel,
     PauseModel,
     PromptShape,
-    ReadingModel,
     Replica,
     ReplicaChooser,
     ReplicaView,
+    SegmentTracker,
 )
 
 GAP_AIM_MS = 300.0
@@ -28,7 +28,7 @@
 
 
 def chooser():
-    return ReplicaChooser(PartMemory(), "here")
+    return ReplicaChooser(SegmentTracker(), "here")
 
 
 def run_stream(replica, now_ms, interval_ms, pause_ms=0.0, events=EVENTS):
@@ -36,7 +36,7 @@
     work = replica.begin(now_ms, 0.0, GAP_AIM_MS)
     for number in range(events):
         now_ms += pause_ms if number == events // 2 and pause_ms else interval_ms
-        replica.event(work, now_ms)
+        replica.record_event(work, now_ms)
     replica.end(work, now_ms)
     return now_ms
 
@@ -51,10 +51,10 @@
     def play(speed, seed):
         ms_a_token, base_ms = speed
         source = random.Random(seed)
-        model = ReadingModel()
+        model = FirstTokenModel()
         for _ in range(300):
             tokens = source.choice([200, 800, 3_000, 9_000]) * source.uniform(0.7, 1.3)
-            model.note(tokens, (base_ms + ms_a_token * tokens) * source.uniform(0.9, 1.1))
+            model.record(tokens, (base_ms + ms_a_token * tokens) * source.uniform(0.9, 1.1))
         return model
 
     context.play = play
@@ -69,7 +69,7 @@
         model = context.play(speed, seed)
         for tokens in (500, 5_000, 10_000):
             truth = base_ms + ms_a_token * tokens
-            expected = model.base_ms + model.ms_a_token * tokens
+            expected = model.base_ms + model.ms_per_token * tokens
             assert abs(expected - truth) < 0.25 * truth + 10, (expected, truth)
 
     check()
@@ -92,12 +92,12 @@
     for _ in range(3):
         for replica, interval_ms in context.intervals.items():
             beside = replica.begin(context.now_ms, 0.0, 10 * GAP_AIM_MS)
-            replica.event(beside, context.now_ms)
+            replica.record_event(beside, context.now_ms)
             candidate = context.chooser.choose([replica], prompt, 0.0, context.now_ms)
             reading = replica.begin(context.now_ms, candidate.tokens, GAP_AIM_MS)
             context.now_ms += 13 * interval_ms
-            replica.event(beside, context.now_ms)
-            context.chooser.note_first(candidate, reading, context.now_ms)
+            replica.record_event(beside, context.now_ms)
+            context.chooser.record_first_response(candidate, reading, context.now_ms)
             replica.end(reading, context.now_ms)
             replica.end(beside, context.now_ms)
     for replica in context.intervals:
@@ -105,8 +105,8 @@
     context.running = []
     for replica, interval_ms in context.intervals.items():
         work = replica.begin(context.now_ms, 0.0, GAP_AIM_MS)
-        replica.event(work, context.now_ms)
-        replica.event(work, context.now_ms + interval_ms)
+        replica.record_event(work, context.now_ms)
+        replica.record_event(work, context.now_ms + interval_ms)
         context.running.append(work)
 
 
@@ -125,7 +125,7 @@
 
 @then("it may go to the slow one once the streams there have nothing to lose")
 def nothing_to_lose(context):
-    context.slow.event(context.running[1], context.now_ms + 10 * GAP_AIM_MS)
+    context.slow.record_event(context.running[1], context.now_ms + 10 * GAP_AIM_MS)
     alone = context.chooser.choose(
         [context.slow], PromptShape((), 10_000, GAP_AIM_MS), 0.0, context.now_ms
     )
@@ -169,12 +169,12 @@
     @settings(max_examples=200)
     @given_any(context.samples)
     def check(samples):
-        reading, pauses = ReadingModel(), PauseModel()
+        reading, pauses = FirstTokenModel(), PauseModel()
         for tokens, time_ms in samples:
-            reading.note(tokens, time_ms)
-            pauses.note(tokens, time_ms, STEP_MS)
+            reading.record(tokens, time_ms)
+            pauses.record(tokens, time_ms, STEP_MS)
         for tokens in (0.0, 1.0, 1e6):
-            expected = reading.base_ms + reading.ms_a_token * tokens
+            expected = reading.base_ms + reading.ms_per_token * tokens
             assert math.isfinite(expected) and expected >= 0
             assert 0 <= pauses.expected_ms(tokens, STEP_MS) < math.inf
 
--- a/features/steps/cold_starts_steps.py
+++ b/features/steps/cold_starts_steps.py
@@ -342,10 +342,10 @@
 
 @then("a replica whose failure domain was evacuated is cold for its service's time afterwards")
 def cold_after_evacuation(context):
-    context.registry.evacuate([Evacuation("hall-2", 5)])
+    context.registry.set_evacuations([Evacuation("hall-2", 5)])
     context.clock.advance(10_000)
     assert [each.identity for each in context.registry.ready("engine")] == ["i-1"]
-    context.registry.evacuate([])
+    context.registry.set_evacuations([])
     assert is_cold(context, "i-2") and not is_cold(context, "i-1")
     context.clock.advance(SERVICE.cold_start_ms)
     assert not is_cold(context, "i-2")
--- a/features/steps/gateway_answers_steps.py
+++ b/features/steps/gateway_answers_steps.py
@@ -319,7 +319,7 @@
     context.clock = ManualClock()
     context.registry = ReplicaRegistry(context.clock, lambda identity: None)
     context.registry.update([Replica("i-1", "portal", "10.0.0.1:1")])
-    context.registry.note_replaced("i-1", "router-2")
+    context.registry.record_replaced("i-1", "router-2")
 
 
 @when("that is told again and again for {seconds:d} seconds")
@@ -328,14 +328,14 @@
     for _ in range(seconds):
         context.left_out_s += not context.registry.ready("portal")
         context.clock.advance(1_000)
-        context.registry.note_replaced("i-1", "router-2")
+        context.registry.record_replaced("i-1", "router-2")
 
 
 @then("it is left out for {seconds:d} seconds, and again only after this router met it itself")
 def left_out(context, seconds):
     assert context.left_out_s == seconds, context.left_out_s
     assert context.registry.ready("portal")
-    context.registry.note_replaced("i-1")
+    context.registry.record_replaced("i-1")
     assert not context.registry.ready("portal")
 
 
--- a/features/steps/limited_choice_steps.py
+++ b/features/steps/limited_choice_steps.py
@@ -14,7 +14,7 @@
 from aspengate.gateway._permit_asker import GrantedPermit
 from aspengate.gateway._replica_bounds import ReplicaBounds
 from aspengate.replica_limits import PermitHolders
-from aspengate.replicas import LimitStatement, SelfStatement
+from aspengate.replicas import ReportedLimit, ReportedState
 from aspengate.telemetry import NullCounters
 
 SERVICE = Service("model")
@@ -127,7 +127,7 @@
 
     def _sent(self, router, sent, kind, shape, now_ms, at_ms):
         for part, _ in shape.shared:
-            router.chooser.parts.note(part, sent.view.identity, now_ms)
+            router.chooser.segments.record_sent(part, sent.view.identity, now_ms)
         work = sent.view.begin(at_ms, sent.tokens, 0.0)
         first_ms, unread = self.engines[sent.view.identity].read(shape, at_ms)
         self._count(kind, shape, first_ms - now_ms, unread)
@@ -135,10 +135,10 @@
         self._at(at_ms + 100.0, lambda now: self._tell(router, sent, shape, now))
 
     def _name_limits(self, per_second):
-        said = SelfStatement(limit=LimitStatement(1, per_second))
+        said = ReportedState(limit=ReportedLimit(1, per_second))
         for views in self.views_of.values():
             for view in views.values():
-                view.said = said
+                view.reported = said
 
 
 def exchange(play, kind):
--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -8,7 +8,7 @@
 
 from aspengate.clock import ManualClock, SystemClock
 from aspengate.platform import PlatformDeployment
-from aspengate.replicas import PartMemory, ReplicaRegistry
+from aspengate.replicas import ReplicaRegistry, SegmentTracker
 from aspengate.store import StoreItem
 from crashes_steps import ask
 from foreign_entries_steps import GOOD
@@ -29,22 +29,22 @@
 
     def __init__(self, **fields):
         self.clock = ManualClock()
-        self.parts = PartMemory()
+        self.parts = SegmentTracker()
         self.gone = []
         self.registry = ReplicaRegistry(self.clock, self._on_gone)
         self.registry.update([record(**fields)])
         view = self.view()
         now = self.clock.monotonic_ms()
         for _ in range(5):
-            view.failed(now)
+            view.record_failure(now)
         view.slowness = 3.0
-        self.parts.note("part", "i-1", now)
-        self.earlier = view.life
-        self.registry.note_replaced(view.life)
+        self.parts.record_sent("part", "i-1", now)
+        self.earlier = view.incarnation
+        self.registry.record_replaced(view.incarnation)
         assert not self.registry.ready("portal")
 
     def _on_gone(self, view):
-        self.gone.append(view.life)
+        self.gone.append(view.incarnation)
         self.parts.forget(view.identity)
 
     def view(self):
@@ -69,7 +69,7 @@
         assert len(listed.registry.ready("portal")) == 1
         view = listed.view()
         now = listed.clock.monotonic_ms()
-        assert view.life != listed.earlier and listed.gone == [listed.earlier]
+        assert view.incarnation != listed.earlier and listed.gone == [listed.earlier]
         assert view.failure_rate(now) == 0 and view.slowness == 1.0
         assert view.is_cold(now, 0) and not view.is_cold(now + COLD_MS, 0)
         assert not listed.parts.holders("part")
@@ -79,8 +79,10 @@
 def earlier_messages(context):
     started_again(context)
     for listed in context.listed:
-        listed.registry.note_replaced(listed.earlier, "router-2")
-        context.placed = [listed.registry.view_of_life(listed.earlier) for listed in context.listed]
+        listed.registry.record_replaced(listed.earlier, "router-2")
+        context.placed = [
+            listed.registry.view_of_incarnation(listed.earlier) for listed in context.listed
+        ]
 
 
 @then("they change nothing of it")
@@ -88,11 +90,11 @@
     assert context.placed == [None, None]
     new_replica(context)
     for listed in context.listed:
-        life = listed.view().life
-        assert listed.registry.view_of_life(life) is listed.view()
+        incarnation = listed.view().incarnation
+        assert listed.registry.view_of_incarnation(incarnation) is listed.view()
         # The same record again, with a higher number, is the same start.
-        listed.registry.update([record(born=BORN + 9_000 if "@" in life else 0, seq=2)])
-        assert listed.view().life == life, (life, listed.view().life)
+        listed.registry.update([record(born=BORN + 9_000 if "@" in incarnation else 0, seq=2)])
+        assert listed.view().incarnation == incarnation, (incarnation, listed.view().incarnation)
 
 
 @given("a gateway that met another replica at the address of the only one")
--- a/features/steps/placements_steps.py
+++ b/features/steps/placements_steps.py
@@ -11,7 +11,7 @@
     PlacedRequest,
     PlacementExchange,
 )
-from aspengate.replicas import PartMemory, PromptShape, Replica, ReplicaChooser, ReplicaRegistry
+from aspengate.replicas import PromptShape, Replica, ReplicaChooser, ReplicaRegistry, SegmentTracker
 from aspengate.telemetry import NullCounters
 
 
@@ -131,7 +131,7 @@
     registry = ReplicaRegistry(context.clock, lambda identity: None)
     registry.update([Replica(name, "engine", "10.0.0.1:1", slots=64) for name in ("i-1", "i-2")])
     context.views = registry.ready("engine")
-    context.chooser = ReplicaChooser(PartMemory(), "")
+    context.chooser = ReplicaChooser(SegmentTracker(), "")
     context.usual = choose(context)
 
 
@@ -143,7 +143,7 @@
 @when("another router has sent a prompt of {tokens:d} tokens to one of them")
 def sent_long(context, tokens):
     now = context.clock.monotonic_ms()
-    context.usual.view.note_placed(tokens, 1_200.0, now)
+    context.usual.view.record_remote_request(tokens, 1_200.0, now)
 
 
 @then("a request goes to the other one, until the prompt is read")
@@ -156,7 +156,7 @@
 @when("another router has sent a prompt with a shared part to the one of lower rank")
 def sent_part(context):
     lower = next(view for view in context.views if view is not context.usual.view)
-    context.chooser.parts.note("part", lower.identity, context.clock.monotonic_ms())
+    context.chooser.segments.record_sent("part", lower.identity, context.clock.monotonic_ms())
     context.lower = lower
 
 
@@ -175,11 +175,11 @@
         candidate = choose(context)
         work = candidate.view.begin(now, candidate.tokens)
         context.clock.advance(candidate.first_ms * factor)
-        context.chooser.note_first(candidate, work, context.clock.monotonic_ms())
+        context.chooser.record_first_response(candidate, work, context.clock.monotonic_ms())
         candidate.view.end(work, context.clock.monotonic_ms())
 
 
 @then("the error's median is {median:g} and its ninetieth percentile is {tail:g}")
 def error_figures(context, median, tail):
     found = context.chooser.estimate_error()
-    assert (round(found.median, 1), round(found.tail, 1)) == (median, tail), found
+    assert (round(found.median, 1), round(found.p90, 1)) == (median, tail), found
--- a/features/steps/replica_limit_answers_steps.py
+++ b/features/steps/replica_limit_answers_steps.py
@@ -21,7 +21,7 @@
 from aspengate.losses import cause_of
 from aspengate.peers import PermitReply, PermitUse
 from aspengate.replica_limits import PermitHolders, ReplicaLimiter
-from aspengate.replicas import LimitStatement, Replica, ReplicaNotice, ReplicaRegistry
+from aspengate.replicas import Replica, ReplicaNotice, ReplicaRegistry, ReportedLimit
 from aspengate.telemetry import NullCounters
 from gateway_world import in_background
 from replica_statements_steps import (
@@ -157,7 +157,7 @@
     shares.know([], 1)
     listed.clock.advance(60_000)
     permits = FleetPermits(shares, listed.clock, part_of_rank=mostly_first)
-    context.limiter = ReplicaLimiter(permits, listed.clock, lambda: listed.registry.limited)
+    context.limiter = ReplicaLimiter(permits, listed.clock, lambda: listed.registry.any_limited)
     context.permit = context.limiter.take(listed.view("i-1"))
 
 
@@ -167,7 +167,7 @@
     view = listed.view("i-1")
 
     def name_limit(_):
-        listed.registry.note_said(view, ReplicaNotice(limit=1.0))
+        listed.registry.record_notice(view, ReplicaNotice(limit=1.0))
         while (permit := context.limiter.take(view)) is not None:
             permit.settle(sent=True)
             listed.clock.advance(500)
@@ -244,22 +244,22 @@
     listed.write()
     listed.clock.advance(1_000)
     context.named_ms = listed.clock.monotonic_ms()
-    listed.registry.note_said(listed.view("i-1"), LIMITED, context.named_ms - 10)
+    listed.registry.record_notice(listed.view("i-1"), LIMITED, context.named_ms - 10)
 
 
 def limit_of(context):
-    return context.listed.view("i-1").said.limit
+    return context.listed.view("i-1").reported.limit
 
 
 @then("an answer without one to a request that was sent before ends nothing")
 def earlier_ends_nothing(context):
     registry, view = context.listed.registry, context.listed.view("i-1")
     context.listed.clock.advance(500)
-    registry.note_said(view, USUAL, context.named_ms - 1)
+    registry.record_notice(view, USUAL, context.named_ms - 1)
     assert limit_of(context).per_second == 2.0
     # Named again later: what was sent before that says nothing either.
-    registry.note_said(view, LIMITED, context.named_ms + 100)
-    registry.note_said(view, USUAL, context.named_ms + 400)
+    registry.record_notice(view, LIMITED, context.named_ms + 100)
+    registry.record_notice(view, USUAL, context.named_ms + 400)
     assert limit_of(context).per_second == 2.0
     assert len(context.told) == 1, context.told
 
@@ -269,7 +269,7 @@
 def later_ends(context):
     clock, view = context.listed.clock, context.listed.view("i-1")
     clock.advance(100)
-    context.listed.registry.note_said(view, USUAL, clock.monotonic_ms() - 50)
+    context.listed.registry.record_notice(view, USUAL, clock.monotonic_ms() - 50)
     assert limit_of(context).per_second is None
     rates = []
     for _ in range(4):
@@ -287,7 +287,7 @@
     sent_ms = clock.monotonic_ms()
     clock.advance(100)
     for limit in (3.0, 1.0, 3.0):
-        registry.note_said(view, ReplicaNotice(limit=limit), sent_ms)
+        registry.record_notice(view, ReplicaNotice(limit=limit), sent_ms)
     assert limit_of(context).per_second == 1.0
 
 
@@ -322,8 +322,8 @@
 
         def take(notice):
             view = registry.view("i-1")
-            if notice.says_anything or view.said.limit.is_in_force:
-                registry.note_said(view, notice, asked_ms)
+            if notice.has_statement or view.reported.limit.is_in_force:
+                registry.record_notice(view, notice, asked_ms)
 
         self.later(most_ms, answer)
 
@@ -333,7 +333,7 @@
                 for _ in range(self.source.choice([0, 1, 2])):
                     self.later(
                         500.0,
-                        lambda registry=registry: registry.note_limit_told(
+                        lambda registry=registry: registry.record_peer_limit(
                             life, limit.number, limit.per_second
                         ),
                     )
@@ -348,7 +348,7 @@
         self.clock.advance(max(0.0, last_ms - self.clock.monotonic_ms()))
 
     def known(self):
-        return {registry.view("i-1").said.limit.per_second for registry in self.registries}
+        return {registry.view("i-1").reported.limit.per_second for registry in self.registries}
 
 
 @given("routers that ask a replica, and tell each other what it names")
@@ -390,12 +390,12 @@
 def lapse_and_start(context):
     listed = context.listed
     listed.write([])
-    assert not listed.registry.limited
+    assert not listed.registry.any_limited
     listed.write()
-    assert listed.registry.limited and limit_of(context).per_second == 2.0
+    assert listed.registry.any_limited and limit_of(context).per_second == 2.0
     listed.born += 9_000
     listed.write()
-    assert limit_of(context) == LimitStatement()
+    assert limit_of(context) == ReportedLimit()
 
 
 @given("a router that has not read the list of replicas")
@@ -408,17 +408,17 @@
 def told_early(context):
     listed = context.listed
     for number, per_second in ((1, 2.0), (2, 0.5), (1, 2.0)):
-        listed.registry.note_limit_told(f"i-1@{listed.born}", number, per_second)
-        listed.registry.note_limit_told("i-2@1", number, per_second)
+        listed.registry.record_peer_limit(f"i-1@{listed.born}", number, per_second)
+        listed.registry.record_peer_limit("i-2@1", number, per_second)
     listed.write()
 
 
 @then("the later limit holds, for the start that it was told of alone")
 def later_holds(context):
-    limits = {each: context.listed.view(each).said.limit for each in ("i-1", "i-2")}
+    limits = {each: context.listed.view(each).reported.limit for each in ("i-1", "i-2")}
     assert limits["i-1"].per_second == 0.5 and limits["i-1"].number == 2, limits
-    assert limits["i-2"] == LimitStatement(), limits
-    assert context.listed.registry.limited
+    assert limits["i-2"] == ReportedLimit(), limits
+    assert context.listed.registry.any_limited
 
 
 @given("a router that looks for the holders of a replica's permits")
@@ -468,7 +468,7 @@
 def late_answer(context):
     context.granted = context.asker.ask(context.first, [context.view], 0.0)
     number = context.sent[0][0].number
-    late = PermitReply(number, "router-0.1", context.view.life, 0, 1_500)
+    late = PermitReply(number, "router-0.1", context.view.incarnation, 0, 1_500)
     thread = threading.Thread(target=context.asker.take_reply, args=(late, "there"))
     thread.start()
     thread.join()
--- a/features/steps/replica_statements_steps.py
+++ b/features/steps/replica_statements_steps.py
@@ -13,14 +13,14 @@
 from aspengate.connections import ReplicaAnswer
 from aspengate.explanation import read_lines, tell_story
 from aspengate.gateway._attempt import Attempt, AttemptParts, TryAnotherError
-from aspengate.replicas import Replica, ReplicaNotice, ReplicaRegistry, Standing
-from aspengate.replicas._statement import LONGEST_REST_MS
+from aspengate.replicas import Availability, Replica, ReplicaNotice, ReplicaRegistry
+from aspengate.replicas._reported_state import MAX_BACKOFF_MS
 from gateway_world import TOKENS, start
 
 BORN = 1_790_000_000_000
 REST_MS = 3_000.0
 LEAVING = ReplicaNotice(leaving=True)
-RESTING = ReplicaNotice(rest_ms=REST_MS)
+RESTING = ReplicaNotice(backoff_ms=REST_MS)
 
 
 def replica(identity, *, born=BORN, number=1, service="portal"):
@@ -47,7 +47,7 @@
         return self.registry.view(identity)
 
     def say(self, identity, notice):
-        self.registry.note_said(self.view(identity), notice)
+        self.registry.record_notice(self.view(identity), notice)
 
     def open(self):
         return {view.identity for view in self.registry.ready("portal")}
@@ -99,7 +99,7 @@
 def notice_in_between(context):
     for listed, earlier in zip(context.listed, context.earlier, strict=True):
         listed.write([])
-        listed.registry.note_said(earlier, LEAVING)
+        listed.registry.record_notice(earlier, LEAVING)
         listed.write()
 
 
@@ -123,7 +123,7 @@
 def open_again(context):
     for listed, earlier in zip(context.listed, context.earlier, strict=True):
         assert listed.open() == {"i-1", "i-2"}, listed.open()
-        listed.registry.note_said(earlier, LEAVING)
+        listed.registry.record_notice(earlier, LEAVING)
         assert listed.open() == {"i-1", "i-2"}, listed.open()
 
 
@@ -144,15 +144,15 @@
 def several_rests(context):
     for listed in context.listed:
         listed.say("i-1", RESTING)
-        listed.say("i-1", ReplicaNotice(rest_ms=1_000.0))
+        listed.say("i-1", ReplicaNotice(backoff_ms=1_000.0))
 
 
 @then("its rest ends after the longest of these, or after ten minutes")
 def longest_rest(context):
     for listed in context.listed:
-        assert listed.registry.rest_left_ms("portal") == REST_MS
-        listed.say("i-1", ReplicaNotice(rest_ms=1e12))
-        assert listed.registry.rest_left_ms("portal") == LONGEST_REST_MS == 600_000
+        assert listed.registry.backoff_left_ms("portal") == REST_MS
+        listed.say("i-1", ReplicaNotice(backoff_ms=1e12))
+        assert listed.registry.backoff_left_ms("portal") == MAX_BACKOFF_MS == 600_000
 
 
 @given('an answer with "{value}" in Retry-After')
@@ -171,7 +171,7 @@
     notice = st.builds(
         ReplicaNotice,
         leaving=st.booleans(),
-        rest_ms=st.sampled_from([0.0, 500.0, REST_MS, 1e12]),
+        backoff_ms=st.sampled_from([0.0, 500.0, REST_MS, 1e12]),
     )
     context.steps = st.lists(
         st.one_of(notice, st.sampled_from(["lapse", "return"]), st.floats(0, 4_000)), max_size=20
@@ -188,10 +188,10 @@
         for step in steps:
             now = listed.clock.monotonic_ms()
             if isinstance(step, ReplicaNotice):
-                listed.registry.note_said(view, step)
+                listed.registry.record_notice(view, step)
                 left = left or step.leaving
-                if step.rest_ms:
-                    rest_until = max(rest_until, now + min(step.rest_ms, LONGEST_REST_MS))
+                if step.backoff_ms:
+                    rest_until = max(rest_until, now + min(step.backoff_ms, MAX_BACKOFF_MS))
             elif isinstance(step, float):
                 listed.clock.advance(step)
             else:
@@ -311,7 +311,7 @@
 def says_in_between(context):
     listed = Listed(["i-1"])
     view = listed.view("i-1")
-    pool = SlowPool(lambda _: listed.registry.note_said(view, LEAVING))
+    pool = SlowPool(lambda _: listed.registry.record_notice(view, LEAVING))
     parts = AttemptParts(_Spelling(), pool, listed.clock, _Chooser(), listed.registry)
     settled = []
     attempt = Attempt(parts, _Exchange(), _Candidate(view), None, _Permit(settled), "i-1")
@@ -322,7 +322,7 @@
         context.raised = error
     attempt.end("x", failed=False)
     context.attempt, context.pool, context.settled = attempt, pool, settled
-    context.standing = listed.registry.standing(view)
+    context.availability = listed.registry.availability(view)
 
 
 @then("the request goes to the other one, without a second arrival, and a repeat is given back")
@@ -330,7 +330,7 @@
     assert context.raised is not None and not context.raised.sent
     assert not context.attempt.sent and not context.pool.sent and context.pool.closed == 1
     assert context.settled == [False]
-    assert context.standing is Standing.LEAVING
+    assert context.availability is Availability.LEAVING
 
 
 class _Spelling:
@@ -339,7 +339,7 @@
 
 
 class _Chooser:
-    def note_first(self, *_):
+    def record_first_response(self, *_):
         raise AssertionError("nothing was answered")
 
 
--- a/src/aspengate/experiments/_overload.py
+++ b/src/aspengate/experiments/_overload.py
@@ -15,12 +15,12 @@
 from aspengate.replicas import (
     Candidate,
     ChoicePolicy,
-    PartMemory,
+    InFlightRequest,
     PromptShape,
     Replica,
     ReplicaChooser,
     ReplicaView,
-    Work,
+    SegmentTracker,
 )
 
 # An engine of no customer: what it reads in a ms, what a first token takes beyond that, and the
@@ -85,9 +85,9 @@
 )
 
 WAYS = {
-    "own wait alone": ChoicePolicy(behind_part=0.0),
-    "with those behind": ChoicePolicy(behind_part=1.0),
-    "twice those behind": ChoicePolicy(behind_part=2.0),
+    "own wait alone": ChoicePolicy(queue_weight=0.0),
+    "with those behind": ChoicePolicy(queue_weight=1.0),
+    "twice those behind": ChoicePolicy(queue_weight=2.0),
 }
 
 
@@ -131,7 +131,7 @@
 
 class _Router:
     def __init__(self, engines: Iterable[str], policy: ChoicePolicy) -> None:
-        self.chooser = ReplicaChooser(PartMemory(), "here", policy)
+        self.chooser = ReplicaChooser(SegmentTracker(), "here", policy)
         self.views = {
             name: ReplicaView(Replica(name, "model", "10.0.0.1:1", "here", 64)) for name in engines
         }
@@ -140,14 +140,14 @@
         views = [view for name, view in self.views.items() if name in here]
         candidate = self.chooser.choose(views, shape, tie, now_ms)
         for part, _ in shape.shared:
-            self.chooser.parts.note(part, candidate.view.identity, now_ms)
+            self.chooser.segments.record_sent(part, candidate.view.identity, now_ms)
         return candidate
 
     def hear(self, sent: Candidate, shape: PromptShape, now_ms: float) -> None:
         name = sent.view.identity
-        self.views[name].note_placed(sent.tokens, sent.first_ms, now_ms)
+        self.views[name].record_remote_request(sent.tokens, sent.first_ms, now_ms)
         for part, _ in shape.shared:
-            self.chooser.parts.note(part, name, now_ms)
+            self.chooser.segments.record_sent(part, name, now_ms)
 
 
 class _Play:
@@ -206,7 +206,7 @@
 
     def _count(self, kind: PromptKind, shape: PromptShape, first_ms: float, unread: int) -> None:
         result = self.result
-        part = shape.anchor
+        part = shape.affinity_segment
         result.tokens_read += unread + shape.own_tokens
         if part in self.read_before:
             result.tokens_again += unread
@@ -217,8 +217,10 @@
             result.late += 1
             result.late_by_kind[kind.name] += 1
 
-    def _first(self, router: _Router, sent: Candidate, work: Work, now_ms: float) -> None:
-        router.chooser.note_first(sent, work, now_ms)
+    def _first(
+        self, router: _Router, sent: Candidate, work: InFlightRequest, now_ms: float
+    ) -> None:
+        router.chooser.record_first_response(sent, work, now_ms)
         self._at(now_ms + _OUTPUT_MS, lambda now: sent.view.end(work, now))
 
     def _tell(self, sender: _Router, sent: Candidate, shape: PromptShape, now_ms: float) -> None:
--- a/src/aspengate/gateway/_attempt.py
+++ b/src/aspengate/gateway/_attempt.py
@@ -16,11 +16,11 @@
 from aspengate.gateway._patience import Patience
 from aspengate.gateway._ports import RequestSpelling
 from aspengate.replicas import (
+    Availability,
     Candidate,
     ReplicaChooser,
     ReplicaNotice,
     ReplicaRegistry,
-    Standing,
 )
 
 _LEAST_URGENT = 9
@@ -78,7 +78,7 @@
         self.exchange = exchange
         self.candidate = candidate
         self.view = candidate.view
-        self.life = candidate.view.life
+        self.life = candidate.view.incarnation
         self.patience = patience
         self.permit = permit
         self.replica_run = replica_run
@@ -118,7 +118,7 @@
         answer = self._await_head(connection)
         now = self.parts.clock.monotonic_ms()
         self.first_ms = now - self.begun_ms
-        self.view.sign_of_life(now)
+        self.view.record_activity(now)
         return answer
 
     def note_first(self) -> None:
@@ -129,22 +129,22 @@
         """
         if self.first_ms is not None:
             first_ms = self.begun_ms + self.first_ms
-            self.parts.chooser.note_first(self.candidate, self._work, first_ms)
+            self.parts.chooser.record_first_response(self.candidate, self._work, first_ms)
 
     def note_sign(self) -> None:
         """Note that more of the answer has come."""
-        self.view.sign_of_life(self.parts.clock.monotonic_ms())
+        self.view.record_activity(self.parts.clock.monotonic_ms())
 
     def note_event(self, now_ms: float) -> None:
         """Note that an event of a stream has come."""
-        self.view.event(self._work, now_ms)
+        self.view.record_event(self._work, now_ms)
 
     def release(self, answer: ReplicaAnswer) -> None:
         """Keep the connection for further requests; the answer was whole.
 
         One to a replica that leaves serves no more requests, and ``end`` closes it.
         """
-        if self.connection is not None and not self.view.said.is_leaving:
+        if self.connection is not None and not self.view.reported.is_leaving:
             self.parts.pool.give_back(self.life, self.connection, answer.rest_ms)
             self.connection = None
 
@@ -157,11 +157,11 @@
         self.permit.settle(sent=self.sent)
         self.view.end(self._work, self.ended_ms)
         if failed:
-            self.view.failed(self.ended_ms)
+            self.view.record_failure(self.ended_ms)
         elif self.connection is None and self.sent:
             whole_ms = self.ended_ms - self.begun_ms
             plain = self.exchange.known_service.engine is None
-            self.view.succeeded(self.ended_ms, whole_ms if plain else None)
+            self.view.record_success(self.ended_ms, whole_ms if plain else None)
         if self.connection is not None:
             self.connection.close()
             self.connection = None
@@ -197,7 +197,7 @@
             "first_ms": None if self.first_ms is None else round(self.first_ms),
             "held_ms": round(ended_ms - self.begun_ms),
             "leaving": self.notice.leaving,
-            "rest_ms": round(self.notice.rest_ms),
+            "rest_ms": round(self.notice.backoff_ms),
             "limit": self.notice.limit,
             "outcome": self.outcome,
         }
@@ -226,8 +226,8 @@
         Since the choice the connection came up, which may take a second, and answers to other
         requests may have said that the replica leaves, wants rest or names a limit.
         """
-        standing = self.parts.registry.standing(self.view)
-        if standing is not Standing.OPEN:
+        standing = self.parts.registry.availability(self.view)
+        if standing is not Availability.OPEN:
             cause = AspengateError(ErrorKind.NO_UPSTREAM, standing.value, where=self.view.identity)
             raise TryAnotherError(cause, sent=False)
         if not self.permit.holds(self.parts.clock.monotonic_ms()):
@@ -250,7 +250,7 @@
         try:
             return self.parts.pool.open(self.view.replica.address, remaining)
         except AspengateError as error:
-            self.view.unreached(self.parts.clock.monotonic_ms(), _UNREACHED_PAUSE_MS)
+            self.view.record_unreachable(self.parts.clock.monotonic_ms(), _UNREACHED_PAUSE_MS)
             raise TryAnotherError(error, sent=False) from error
 
     def _head(self, last_event_id: str) -> RequestHead:
--- a/src/aspengate/gateway/_daemon.py
+++ b/src/aspengate/gateway/_daemon.py
@@ -38,11 +38,11 @@
 )
 from aspengate.replica_limits import PermitHolders
 from aspengate.replicas import (
-    LimitStatement,
-    PartMemory,
     ReplicaChooser,
     ReplicaRegistry,
     ReplicaView,
+    ReportedLimit,
+    SegmentTracker,
 )
 from aspengate.retries import RetryPolicy, SharedRetryBudget
 from aspengate.serving import RelayServer, WsgiServer
@@ -92,7 +92,7 @@
         deployment.store.era.on_rise = self._on_store_era
         self.holder = ConfigurationHolder(clock)
         self.pool = ConnectionPool(clock, _LONGEST_REST_MS)
-        self.parts = PartMemory()
+        self.parts = SegmentTracker()
         self.registry = ReplicaRegistry(clock, self._on_replica_gone, self._tell_limit)
         self._reader = StoreReader(deployment, self.holder, self.registry, counters)
         self.retries = SharedRetryBudget(_retry_policy(settings), clock)
@@ -101,7 +101,7 @@
             clock,
             ColdStartPolicy(settings.cold_overage, settings.cold_slack),
             self._contact,
-            any_limited=lambda: self.registry.limited,
+            any_limited=lambda: self.registry.any_limited,
         )
         self.crashes = CrashGuard(
             deployment.store,
@@ -185,7 +185,7 @@
         error = self.application.dispatcher.parts.chooser.estimate_error()
         return {
             "first_token_over_expected_median": error.median,
-            "first_token_over_expected_p90": error.tail,
+            "first_token_over_expected_p90": error.p90,
             "leads_failure_domain": self.peering.members.leads,
             "configuration_version": self.holder.version,
             "configuration_connected": self.mirrors.operator.connected,
@@ -410,11 +410,11 @@
         return Contact.PEERS if self.peering.members.hears_leader else Contact.NONE
 
     def _on_replica_gone(self, view: ReplicaView) -> None:
-        self.pool.forget(view.life)
+        self.pool.forget(view.incarnation)
         self.parts.forget(view.identity)
         self.bounds.forget(view.identity)
 
-    def _tell_limit(self, life: str, limit: LimitStatement) -> None:
+    def _tell_limit(self, life: str, limit: ReportedLimit) -> None:
         word = LimitWord(life, limit.number, limit.per_second)
         self.peering.limits.tell(LimitNotice([word]))
 
--- a/src/aspengate/gateway/_dispatcher.py
+++ b/src/aspengate/gateway/_dispatcher.py
@@ -123,7 +123,7 @@
             return self._may_repeat(exchange, progress, attempts=attempts, to_spare=True)
 
         patience = Patience(exchange.known_route, candidate, self.parts.clock, may_repeat)
-        replica_run = self.crashes.run_of(candidate.view.life)
+        replica_run = self.crashes.run_of(candidate.view.incarnation)
         attempt = Attempt(self.parts, exchange, candidate, patience, permit, replica_run)
         progress.made.append(attempt)
         return attempt
@@ -189,12 +189,12 @@
         limit, unreadable = self._named_limit(answer)
         attempt.notice = ReplicaNotice(
             leaving=spelling.says_leaving(answer.headers),
-            rest_ms=answer.retry_after_ms if asks_for_rest else 0.0,
+            backoff_ms=answer.retry_after_ms if asks_for_rest else 0.0,
             limit=limit,
             unreadable=unreadable,
         )
-        if attempt.notice.says_anything or attempt.view.said.limit.is_in_force:
-            self.registry.note_said(attempt.view, attempt.notice, attempt.sent_ms)
+        if attempt.notice.has_statement or attempt.view.reported.limit.is_in_force:
+            self.registry.record_notice(attempt.view, attempt.notice, attempt.sent_ms)
         if attempt.notice.leaving:
             # It closes them: a request that meets the close is lost.
             self.parts.pool.forget(attempt.life)
@@ -213,7 +213,7 @@
         Of the requests that met replicas which had come back under new ids, 2% of a day's were
         refused after one attempt with time and other replicas left (1 day, 68 routers).
         """
-        self.registry.note_replaced(attempt.life)
+        self.registry.record_replaced(attempt.life)
         progress.attempts -= 1
         self.counters.count("gateway.misdirected")
 
--- a/src/aspengate/gateway/_limited_choice.py
+++ b/src/aspengate/gateway/_limited_choice.py
@@ -76,7 +76,7 @@
         self.counters.count("gateway.at_limit")
         now = self.clock.monotonic_ms()
         service = exchange.known_service.name
-        per_second = sum(view.said.limit.rate_at(now) or 0.0 for view in limited)
+        per_second = sum(view.reported.limit.rate_at(now) or 0.0 for view in limited)
         per_second = max(per_second, _LEAST_PER_SECOND)
         waits = [self.bounds.limiter.ready_in_ms(view) for view in limited]
         waits += [self.asker.holders.ready_in_ms(view) for view in limited]
@@ -102,7 +102,7 @@
     ) -> tuple[Candidate, Permit] | None:
         """Ask a router for a permit for the first of some replicas that it may hold one for."""
         asked = {
-            each.view.life: each
+            each.view.incarnation: each
             for each in candidates
             if self.asker.holders.holder_of(each.view) == holder
         }
@@ -110,7 +110,7 @@
         if granted is None:
             return None
         permit = self.bounds.join(granted.view, exchange.known_service, granted.permit)
-        return None if permit is None else (asked[granted.view.life], permit)
+        return None if permit is None else (asked[granted.view.incarnation], permit)
 
     def _most_wait_ms(self, exchange: Exchange) -> float:
         """Return how long a request may wait for a permit and be answered in time yet."""
--- a/src/aspengate/gateway/_patience.py
+++ b/src/aspengate/gateway/_patience.py
@@ -60,7 +60,7 @@
         if not self._checks:
             return False
         check = self._checks.pop(0)
-        if check.needs_silence and self._candidate.view.last_sign_ms >= self._begun_ms:
+        if check.needs_silence and self._candidate.view.last_activity_ms >= self._begun_ms:
             return False
         return self._may_repeat()
 
@@ -70,7 +70,7 @@
 
     def gap_is_over(self) -> bool:
         """Return whether a stream is given up, with a repeat taken, since its replica is silent."""
-        quiet_ms = self._clock.monotonic_ms() - self._candidate.view.last_sign_ms
+        quiet_ms = self._clock.monotonic_ms() - self._candidate.view.last_activity_ms
         return quiet_ms >= self._gap_ms * _SILENT_PART and self._may_repeat()
 
 
--- a/src/aspengate/gateway/_peer_services.py
+++ b/src/aspengate/gateway/_peer_services.py
@@ -23,7 +23,7 @@
     ReadyPermit,
     Repayment,
 )
-from aspengate.replicas import PartMemory, ReplicaRegistry, ReplicaView
+from aspengate.replicas import ReplicaRegistry, ReplicaView, SegmentTracker
 
 # How long another router may use a permit that it is granted, in ms: its connection to the replica
 # may take a second to come up. With the longest wait before that it is over within the time after
@@ -45,7 +45,7 @@
         registry: ReplicaRegistry,
         bounds: ReplicaBounds,
         crashes: CrashGuard,
-        parts: PartMemory,
+        parts: SegmentTracker,
         clock: Clock,
         tokens: Callable[[], TokenAccounts],
     ) -> None:
@@ -80,13 +80,13 @@
     def take_placed(self, placed: PlacedRequest) -> None:
         """Note a request that another router has sent to a replica."""
         now = self._clock.monotonic_ms()
-        view = self._registry.view_of_life(placed.replica)
+        view = self._registry.view_of_incarnation(placed.replica)
         if view is None:
             return
         self._bounds.cold_starts.note_heard(view.identity)
-        view.note_placed(placed.tokens, placed.expected_ms, now)
+        view.record_remote_request(placed.tokens, placed.expected_ms, now)
         for part in placed.parts:
-            self._parts.note(part, view.identity, now)
+            self._parts.record_sent(part, view.identity, now)
 
     def take_crashes(self, notice: CrashNotice) -> None:
         """Note under which requests another router saw replicas end."""
@@ -99,7 +99,7 @@
     def take_limits(self, notice: LimitNotice, told_by: str) -> None:
         """Note what another router knows of the limits that replicas name."""
         for word in notice.words:
-            self._registry.note_limit_told(word.replica, word.number, word.per_second, told_by)
+            self._registry.record_peer_limit(word.replica, word.number, word.per_second, told_by)
 
     def known_limits(self) -> LimitNotice | None:
         """Return what a router that has just started is to know of limits, if anything."""
@@ -112,11 +112,11 @@
         views = []
         newer = []
         for word in request.words:
-            self._registry.note_limit_told(word.replica, word.number, word.per_second)
-            view = self._registry.view_of_life(word.replica)
+            self._registry.record_peer_limit(word.replica, word.number, word.per_second)
+            view = self._registry.view_of_incarnation(word.replica)
             if view is not None:
                 views.append(view)
-                if view.said.limit.number > word.number:
+                if view.reported.limit.number > word.number:
                     newer.append(word_of(view))
         return self._permit_for(request, views), LimitNotice(newer) if newer else None
 
@@ -131,10 +131,10 @@
             if granted is not None:
                 left_ms = math.ceil(max(0.0, granted.ready_ms - self._clock.monotonic_ms()))
                 return PermitReply(
-                    request.number, request.session, view.life, left_ms, int(_VALID_MS)
+                    request.number, request.session, view.incarnation, left_ms, int(_VALID_MS)
                 )
             in_ms = limiter.ready_in_ms(view)
-            ready.append(ReadyPermit(view.life, -1 if in_ms is None else math.ceil(in_ms)))
+            ready.append(ReadyPermit(view.incarnation, -1 if in_ms is None else math.ceil(in_ms)))
         return PermitReply(request.number, request.session, ready=ready)
 
     def take_permit_use(self, use: PermitUse) -> None:
--- a/src/aspengate/gateway/_peering.py
+++ b/src/aspengate/gateway/_peering.py
@@ -404,7 +404,7 @@
         for prefix, revision in news.newest.items():
             self.sharing.note_behind(prefix, revision, news.member.address)
         for life in news.replaced:
-            self.registry.note_replaced(life, news.member.name)
+            self.registry.record_replaced(life, news.member.name)
 
     def _addresses(self) -> list[str]:
         """Return the addresses of the other routers, of the seeds where none is known."""
--- a/src/aspengate/gateway/_permit_asker.py
+++ b/src/aspengate/gateway/_permit_asker.py
@@ -89,7 +89,7 @@
         question = _Question(self._clock.monotonic_ms())
         with self._lock:
             self._questions[number] = question
-        views = {view.life: view for view in wanted[:_MOST_WORDS]}
+        views = {view.incarnation: view for view in wanted[:_MOST_WORDS]}
         words = [word_of(view) for view in views.values()]
         self._counters.count("permits.asked")
         self._send(PermitRequest(number, self._session(), words, int(most_wait_ms)), address)
@@ -133,5 +133,5 @@
 
 def word_of(view: ReplicaView) -> LimitWord:
     """Return what this router knows of a replica's limit."""
-    limit = view.said.limit
-    return LimitWord(view.life, limit.number, limit.per_second)
+    limit = view.reported.limit
+    return LimitWord(view.incarnation, limit.number, limit.per_second)
--- a/src/aspengate/gateway/_selection.py
+++ b/src/aspengate/gateway/_selection.py
@@ -12,12 +12,12 @@
 from aspengate.gateway._replica_bounds import ReplicaBounds
 from aspengate.peers import PlacedRequest, PlacementSink
 from aspengate.replicas import (
+    Availability,
     Candidate,
     PromptShape,
     ReplicaChooser,
     ReplicaRegistry,
     ReplicaView,
-    Standing,
 )
 from aspengate.telemetry import Counters
 
@@ -82,23 +82,23 @@
         candidate, permit = chosen
         now = self.clock.monotonic_ms()
         for part, _ in prompt.shared:
-            self.chooser.parts.note(part, candidate.view.identity, now)
+            self.chooser.segments.record_sent(part, candidate.view.identity, now)
         if prompt.tokens or service.cold_per_second:
             self.placements.note(_placed(candidate, prompt))
         return candidate, permit
 
     def no_replica(self, service: str) -> AspengateError:
         """Return the refusal of a request that no replica may get now, with the reasons."""
-        standings = self.registry.standings(service)
+        standings = self.registry.availability_counts(service)
         told = [f"{number} {standing.value}" for standing, number in standings.items()]
         reason = "; ".join(["no replica is ready", *told])
-        if Standing.EVACUATED in standings:
+        if Availability.EVACUATED in standings:
             self.counters.count("gateway.evacuated")
             reason = f"{reason}: {', '.join(self.registry.evacuated)}"
-        if Standing.RESTING not in standings:
+        if Availability.RESTING not in standings:
             return AspengateError(ErrorKind.NO_UPSTREAM, reason, where=service)
         self.counters.count("gateway.resting")
-        rest_s = self.registry.rest_left_ms(service) / 1_000
+        rest_s = self.registry.backoff_left_ms(service) / 1_000
         back_s = rest_s * random.uniform(1.0, _REST_SPREAD)
         return AspengateError(ErrorKind.RESTING, reason, where=service, retry_after_s=back_s)
 
@@ -141,4 +141,6 @@
 def _placed(candidate: Candidate, prompt: PromptShape) -> PlacedRequest:
     """Return what other routers are told of a request that is sent to a candidate."""
     parts = [part for part, _ in prompt.shared]
-    return PlacedRequest(candidate.view.life, int(candidate.tokens), int(candidate.first_ms), parts)
+    return PlacedRequest(
+        candidate.view.incarnation, int(candidate.tokens), int(candidate.first_ms), parts
+    )
--- a/src/aspengate/gateway/_store_reader.py
+++ b/src/aspengate/gateway/_store_reader.py
@@ -33,7 +33,7 @@
     def take_operator(self, state: MirrorState) -> None:
         """Take over what the operator wrote; evacuations first, so that none is served without."""
         found = (self._deployment.read_evacuation(item) for item in state.items.values())
-        self._registry.evacuate(each for each in found if each is not None)
+        self._registry.set_evacuations(each for each in found if each is not None)
         item = state.items.get(self._deployment.configuration_key)
         if item is not None:
             self._take_configuration(item)
--- a/src/aspengate/replica_limits/_limiter.py
+++ b/src/aspengate/replica_limits/_limiter.py
@@ -26,7 +26,7 @@
 
     def bound_of(self, view: ReplicaView) -> WindowBound | None:
         """Return what a replica may get from all routers now; None for as much as comes."""
-        rate = view.said.limit.rate_at(self._clock.monotonic_ms())
+        rate = view.reported.limit.rate_at(self._clock.monotonic_ms())
         return None if rate is None else WindowBound.of_rate(rate)
 
     def open(self, views: list[ReplicaView]) -> list[ReplicaView]:
--- a/src/aspengate/replicas/__init__.py
+++ b/src/aspengate/replicas/__init__.py
@@ -1,5 +1,6 @@
 """The replicas that are known, how they do, and which of them a request may go to."""
 
+from aspengate.replicas._availability import Availability
 from aspengate.replicas._choice import (
     CHOICE_POLICY,
     Candidate,
@@ -8,33 +9,32 @@
     ReplicaChooser,
 )
 from aspengate.replicas._evacuation import Evacuation
-from aspengate.replicas._limit import LimitStatement
-from aspengate.replicas._parts import PartMemory
+from aspengate.replicas._first_token import FirstTokenModel
 from aspengate.replicas._pauses import PauseModel
-from aspengate.replicas._reading import ReadingModel
 from aspengate.replicas._registry import ReplicaRegistry
 from aspengate.replicas._replica import Replica, ReplicaState
-from aspengate.replicas._standing import Standing
-from aspengate.replicas._statement import ReplicaNotice, SelfStatement
-from aspengate.replicas._view import ReplicaView, Work
+from aspengate.replicas._reported_limit import ReportedLimit
+from aspengate.replicas._reported_state import ReplicaNotice, ReportedState
+from aspengate.replicas._segments import SegmentTracker
+from aspengate.replicas._view import InFlightRequest, ReplicaView
 
 __all__ = [
     "CHOICE_POLICY",
+    "Availability",
     "Candidate",
     "ChoicePolicy",
     "Evacuation",
-    "LimitStatement",
-    "PartMemory",
+    "FirstTokenModel",
+    "InFlightRequest",
     "PauseModel",
     "PromptShape",
-    "ReadingModel",
     "Replica",
     "ReplicaChooser",
     "ReplicaNotice",
     "ReplicaRegistry",
     "ReplicaState",
     "ReplicaView",
-    "SelfStatement",
-    "Standing",
-    "Work",
+    "ReportedLimit",
+    "ReportedState",
+    "SegmentTracker",
 ]
--- a/src/aspengate/replicas/_standing.py
+++ b/src/aspengate/replicas/_availability.py
@@ -7,7 +7,7 @@
 from aspengate.replicas._view import ReplicaView
 
 
-class Standing(enum.Enum):
+class Availability(enum.Enum):
     """What keeps a replica from new requests; of several reasons the one that comes first here."""
 
     DRAINING = "drains by its record"
@@ -20,10 +20,10 @@
 
 # Looked up once: it is asked for each replica of a service with each request.
 _READY = ReplicaState.READY
-_OPEN = Standing.OPEN
+_OPEN = Availability.OPEN
 
 
-def standing_of(view: ReplicaView, evacuated: Collection[str], now_ms: float) -> Standing:
+def availability_of(view: ReplicaView, evacuated: Collection[str], now_ms: float) -> Availability:
     """Return what one start of a replica may get at a moment, by all that is known of it.
 
     A replica is heard by three ways: its record, its answers, and another's answer at its address.
@@ -31,15 +31,15 @@
     after the replica's answers said that it leaves.
     """
     replica = view.replica
-    said = view.said
+    said = view.reported
     if replica.state is not _READY:
-        return Standing.DRAINING
+        return Availability.DRAINING
     if said.leaving_ms is not None:
-        return Standing.LEAVING
+        return Availability.LEAVING
     if replica.failure_domain in evacuated:
-        return Standing.EVACUATED
+        return Availability.EVACUATED
     if now_ms < view.replaced_until_ms:
-        return Standing.REPLACED
-    if now_ms < said.rest_until_ms:
-        return Standing.RESTING
+        return Availability.REPLACED
+    if now_ms < said.backoff_until_ms:
+        return Availability.RESTING
     return _OPEN
--- a/src/aspengate/replicas/_choice.py
+++ b/src/aspengate/replicas/_choice.py
@@ -6,10 +6,10 @@
 
 import xxhash
 
-from aspengate.replicas._parts import PartMemory
+from aspengate.replicas._first_token import FirstTokenModel
 from aspengate.replicas._pauses import PauseModel, risk
-from aspengate.replicas._reading import ReadingModel
-from aspengate.replicas._view import ReplicaView, Work
+from aspengate.replicas._segments import SegmentTracker
+from aspengate.replicas._view import InFlightRequest, ReplicaView
 
 # What each request that runs at a replica adds to a further one there, in ms: it breaks ties
 # between idle replicas. A choice.
@@ -50,7 +50,7 @@
     gap_aim_ms: float = 0.0
 
     @property
-    def anchor(self) -> str:
+    def affinity_segment(self) -> str:
         """The deepest shared part, which decides where requests that share it meet."""
         return self.shared[-1][0] if self.shared else ""
 
@@ -64,7 +64,7 @@
 class ChoicePolicy:
     """What weighs in a choice beside the request's own wait.
 
-    ``behind_part`` is what a ms by which others wait longer counts against one of its own: a
+    ``queue_weight`` is what a ms by which others wait longer counts against one of its own: a
     shared part that is read again holds up all that wait at that replica, and those to come.
     Load pattern: more than engines bear if every part is read again, and less if none is. By the
     own wait alone a busy replica is passed over for one that has to read, which makes that one
@@ -73,7 +73,7 @@
     that waits at the replicas, so that nothing changes while engines are idle.
     """
 
-    behind_part: float = 2.0
+    queue_weight: float = 2.0
 
 
 CHOICE_POLICY = ChoicePolicy()
@@ -104,19 +104,19 @@
     """
 
     median: float = 0.0
-    tail: float = 0.0
+    p90: float = 0.0
 
 
 class ReplicaChooser:
     """Scores replicas; all routers rank them alike for a part, without a message."""
 
     def __init__(
-        self, parts: PartMemory, failure_domain: str, policy: ChoicePolicy = CHOICE_POLICY
+        self, segments: SegmentTracker, failure_domain: str, policy: ChoicePolicy = CHOICE_POLICY
     ) -> None:
-        self.parts = parts
+        self.segments = segments
         self.policy = policy
         self.failure_domain = failure_domain
-        self.reading = ReadingModel()
+        self.reading = FirstTokenModel()
         self.pauses = PauseModel()
         self._errors: deque[float] = deque(maxlen=_MOST_ERRORS)
 
@@ -139,32 +139,34 @@
         rotated = (*views[start:], *views[:start])
         if not prompt.tokens:
             return [self._plain(view, now_ms) for view in rotated]
-        ranks = _ranks(views, prompt.anchor)
+        ranks = _ranks(views, prompt.affinity_segment)
         held = {part: self._fresh_holders(part, now_ms) for part, _ in prompt.shared}
         waiting = sum(view.waiting(now_ms) for view in views) / len(views)
-        behind = self.policy.behind_part * waiting
+        behind = self.policy.queue_weight * waiting
         return [
             self._engine(view, prompt, held, ranks.get(view.identity, 0), behind, now_ms)
             for view in rotated
         ]
 
-    def note_first(self, candidate: Candidate, work: Work, now_ms: float) -> None:
+    def record_first_response(
+        self, candidate: Candidate, work: InFlightRequest, now_ms: float
+    ) -> None:
         """Learn from the first token of a request that was sent to a candidate."""
         view = candidate.view
-        if work.answered:
+        if work.has_response:
             return
         read_tokens = candidate.tokens + candidate.backlog_tokens
         if candidate.tokens:
-            self._errors.append((now_ms - work.begun_ms) / max(1.0, candidate.first_ms))
+            self._errors.append((now_ms - work.started_ms) / max(1.0, candidate.first_ms))
             usual_ms = self.reading.expected_ms(read_tokens)
-            self.reading.note(read_tokens, now_ms - work.begun_ms)
+            self.reading.record(read_tokens, now_ms - work.started_ms)
             if view.interval_ms:
-                pause_ms = view.longest_pause_since(work.begun_ms, now_ms, work)
+                pause_ms = view.longest_pause_since(work.started_ms, now_ms, work)
                 if pause_ms:
-                    self.pauses.note(candidate.tokens, pause_ms, view.interval_ms)
+                    self.pauses.record(candidate.tokens, pause_ms, view.interval_ms)
         else:
             usual_ms = candidate.first_ms
-        view.first_answer(work, usual_ms, now_ms)
+        view.record_first_response(work, usual_ms, now_ms)
 
     def estimate_error(self) -> EstimateError:
         """Return how recent first tokens compare with what was expected."""
@@ -193,11 +195,11 @@
         tokens = unread_tokens + prompt.own_tokens
         backlog_tokens = view.backlog_tokens + view.others_tokens(now_ms)
         first_ms = self.reading.expected_ms(tokens + backlog_tokens) * view.slowness
-        shared_ms = self.reading.ms_a_token * (prompt.tokens - prompt.own_tokens)
+        shared_ms = self.reading.ms_per_token * (prompt.tokens - prompt.own_tokens)
         harm_ms = self._harm_ms(view, tokens) + view.late_part(now_ms) * prompt.gap_aim_ms
         cost = first_ms + harm_ms + self._distance_ms(view) + _RUNNING_MS * view.in_flight
         cost += _RANK_PART * shared_ms * min(rank, _MOST_RANK)
-        cost += behind * self.reading.ms_a_token * unread_tokens
+        cost += behind * self.reading.ms_per_token * unread_tokens
         cost += _trouble_ms(view, now_ms, _FAILURE_MS)
         return Candidate(view, cost, first_ms, tokens, backlog_tokens, harm_ms)
 
@@ -219,7 +221,7 @@
         return 0.0 if is_near else _OTHER_DOMAIN_MS
 
     def _fresh_holders(self, part: str, now_ms: float) -> frozenset[str]:
-        holders = self.parts.holders(part)
+        holders = self.segments.holders(part)
         return frozenset(name for name, at in holders.items() if now_ms - at <= _MEMORY_MS)
 
 
--- a/src/aspengate/replicas/_reading.py
+++ b/src/aspengate/replicas/_first_token.py
@@ -10,7 +10,7 @@
 _LEAST_MS_A_TOKEN = 1e-4
 
 
-class ReadingModel:
+class FirstTokenModel:
     """A line through the first tokens seen: a base in ms, and ms for each prompt token to read.
 
     It is a least-squares fit whose samples fade, over all replicas together; how much slower one
@@ -20,7 +20,7 @@
 
     def __init__(self) -> None:
         self.base_ms = 0.0
-        self.ms_a_token = _LEAST_MS_A_TOKEN
+        self.ms_per_token = _LEAST_MS_A_TOKEN
         self._lock = threading.Lock()
         self._weight = 0.0
         self._tokens = 0.0
@@ -28,13 +28,13 @@
         self._tokens_squared = 0.0
         self._tokens_ms = 0.0
         for tokens, first_ms in _FIRST_GUESSES:
-            self.note(tokens, first_ms)
+            self.record(tokens, first_ms)
 
     def expected_ms(self, tokens: float) -> float:
         """Return how long a first token usually takes with ``tokens`` to read, in milliseconds."""
-        return self.base_ms + self.ms_a_token * tokens
+        return self.base_ms + self.ms_per_token * tokens
 
-    def note(self, tokens: float, first_ms: float) -> None:
+    def record(self, tokens: float, first_ms: float) -> None:
         """Learn from a first token that came after ``first_ms`` with ``tokens`` to read."""
         with self._lock:
             self._weight = self._weight * _KEPT + 1.0
@@ -50,5 +50,5 @@
         slope = 0.0
         if spread > 0:
             slope = (self._weight * self._tokens_ms - self._tokens * self._ms) / spread
-        self.ms_a_token = max(_LEAST_MS_A_TOKEN, slope)
-        self.base_ms = max(0.0, (self._ms - self.ms_a_token * self._tokens) / self._weight)
+        self.ms_per_token = max(_LEAST_MS_A_TOKEN, slope)
+        self.base_ms = max(0.0, (self._ms - self.ms_per_token * self._tokens) / self._weight)
--- a/src/aspengate/replicas/_pauses.py
+++ b/src/aspengate/replicas/_pauses.py
@@ -28,7 +28,7 @@
         self._lock = threading.Lock()
         self._intervals: dict[int, float] = {}
 
-    def note(self, tokens: float, pause_ms: float, interval_ms: float) -> None:
+    def record(self, tokens: float, pause_ms: float, interval_ms: float) -> None:
         """Learn from a prompt of ``tokens`` that was read while streams ran beside it."""
         size = _size(tokens)
         intervals = pause_ms / interval_ms
--- a/src/aspengate/replicas/_registry.py
+++ b/src/aspengate/replicas/_registry.py
@@ -6,11 +6,11 @@
 from dataclasses import replace
 
 from aspengate.clock import Clock
+from aspengate.replicas._availability import Availability, availability_of
 from aspengate.replicas._evacuation import Evacuation
-from aspengate.replicas._limit import LimitStatement
 from aspengate.replicas._replica import Replica
-from aspengate.replicas._standing import Standing, standing_of
-from aspengate.replicas._statement import ReplicaNotice, SelfStatement
+from aspengate.replicas._reported_limit import ReportedLimit
+from aspengate.replicas._reported_state import ReplicaNotice, ReportedState
 from aspengate.replicas._view import ReplicaView
 from aspengate.store import number_of
 from aspengate.telemetry import log_change
@@ -23,7 +23,7 @@
 _MOST_UNLISTED = 1_024
 
 
-OnLimit = Callable[[str, LimitStatement], None]
+OnLimit = Callable[[str, ReportedLimit], None]
 
 
 class ReplicaRegistry:
@@ -45,7 +45,7 @@
         on_limit: OnLimit = lambda _life, _limit: None,
     ) -> None:
         self.clock = clock
-        self.limited = False
+        self.any_limited = False
         self.revision = 0
         self._views: dict[str, ReplicaView] = {}
         self._lives: dict[str, ReplicaView] = {}
@@ -53,7 +53,7 @@
         self._services: dict[str, tuple[ReplicaView, ...]] = {}
         self._unlisted: OrderedDict[str, ReplicaView] = OrderedDict()
         # What others told of limits of starts that are not listed here yet.
-        self._told_early: OrderedDict[str, tuple[LimitStatement, str]] = OrderedDict()
+        self._told_early: OrderedDict[str, tuple[ReportedLimit, str]] = OrderedDict()
         self._evacuated: dict[str, float] = {}
         self._on_gone = on_gone
         self._on_limit = on_limit
@@ -69,10 +69,10 @@
             for lapsed in gone:
                 self._keep_unlisted(lapsed)
             ended = [view for each in listed.values() if (view := self._take(each)) is not None]
-            self._lives = {view.life: view for view in self._views.values()}
+            self._lives = {view.incarnation: view for view in self._views.values()}
             self._services = _by_service(self._views.values())
             views = self._views.values()
-            self.limited = any(view.said.limit.rate_at(now) is not None for view in views)
+            self.any_limited = any(view.reported.limit.rate_at(now) is not None for view in views)
         for view in gone:
             log_change("replica.gone", replica=view.identity, revision=number_of(revision))
         for view in (*gone, *ended):
@@ -83,7 +83,7 @@
         """The failure domains whose replicas get nothing, in alphabetical order."""
         return tuple(sorted(self._evacuated))
 
-    def evacuate(self, evacuations: Iterable[Evacuation]) -> None:
+    def set_evacuations(self, evacuations: Iterable[Evacuation]) -> None:
         """Take over all evacuations that are in force; those before end where not among them."""
         asked = {each.failure_domain: each for each in evacuations}
         now = self.clock.monotonic_ms()
@@ -106,37 +106,37 @@
     def ready(self, service: str, excluded: Collection[str] = ()) -> list[ReplicaView]:
         """Return the views of a service's replicas that take new requests."""
         now = self.clock.monotonic_ms()
-        evacuated, is_open = self._evacuated, Standing.OPEN
+        evacuated, is_open = self._evacuated, Availability.OPEN
         views = self._of_service(service)
-        ready = [view for view in views if standing_of(view, evacuated, now) is is_open]
+        ready = [view for view in views if availability_of(view, evacuated, now) is is_open]
         return [view for view in ready if view.identity not in excluded] if excluded else ready
 
-    def standing(self, view: ReplicaView) -> Standing:
+    def availability(self, view: ReplicaView) -> Availability:
         """Return whether a start of a replica may get a request now, or why not."""
-        return standing_of(view, self._evacuated, self.clock.monotonic_ms())
+        return availability_of(view, self._evacuated, self.clock.monotonic_ms())
 
-    def standings(self, service: str) -> dict[Standing, int]:
+    def availability_counts(self, service: str) -> dict[Availability, int]:
         """Return how many of a service's listed replicas have each standing."""
-        return dict(Counter(self.standing(view) for view in self._of_service(service)))
+        return dict(Counter(self.availability(view) for view in self._of_service(service)))
 
     def gauges(self) -> dict[str, float]:
         """Return how many listed replicas say in their answers that they leave or want rest."""
         with self._lock:
             views = list(self._views.values())
-        found = Counter(self.standing(view) for view in views)
+        found = Counter(self.availability(view) for view in views)
         return {
-            "replicas_leaving": found[Standing.LEAVING],
-            "replicas_resting": found[Standing.RESTING],
-            "replicas_limited": sum(view.said.limit.is_in_force for view in views),
+            "replicas_leaving": found[Availability.LEAVING],
+            "replicas_resting": found[Availability.RESTING],
+            "replicas_limited": sum(view.reported.limit.is_in_force for view in views),
         }
 
-    def rest_left_ms(self, service: str) -> float:
+    def backoff_left_ms(self, service: str) -> float:
         """Return when the first of a service's resting replicas takes requests again, in ms."""
         now = self.clock.monotonic_ms()
         ends = [
-            view.said.rest_until_ms
+            view.reported.backoff_until_ms
             for view in self._of_service(service)
-            if standing_of(view, self._evacuated, now) is Standing.RESTING
+            if availability_of(view, self._evacuated, now) is Availability.RESTING
         ]
         return max(0.0, min(ends, default=now) - now)
 
@@ -148,12 +148,12 @@
         with self._lock:
             return self._views.get(identity)
 
-    def view_of_life(self, life: str) -> ReplicaView | None:
+    def view_of_incarnation(self, life: str) -> ReplicaView | None:
         """Return the view of a start of a listed replica; None where it has ended."""
         with self._lock:
             return self._lives.get(life)
 
-    def note_replaced(self, life: str, told_by: str = "") -> None:
+    def record_replaced(self, life: str, told_by: str = "") -> None:
         """Leave a start of a replica out: another one answers there, though it is still listed.
 
         ``told_by`` is the router that saw it, empty for this one. What others tell counts once:
@@ -169,7 +169,7 @@
             view.replaced_until_ms = now + _REPLACED_MS
         log_change("replica.replaced", replica=life, told_by=told_by)
 
-    def note_said(
+    def record_notice(
         self, view: ReplicaView, notice: ReplicaNotice, asked_ms: float = float("inf")
     ) -> None:
         """Take what a start of a replica says of itself in an answer.
@@ -178,35 +178,35 @@
         """
         now = self.clock.monotonic_ms()
         with self._lock:
-            before, view.said = view.said, view.said.with_notice(notice, asked_ms, now)
+            before, view.reported = view.reported, view.reported.with_notice(notice, asked_ms, now)
             if view.identity not in self._views:
                 self._keep_unlisted(view)
-            self.limited = self.limited or bool(view.said.limit.number)
-        if view.said.is_leaving and not before.is_leaving:
+            self.any_limited = self.any_limited or bool(view.reported.limit.number)
+        if view.reported.is_leaving and not before.is_leaving:
             log_change(
                 "replica.leaving",
                 replica=view.identity,
-                start=view.life,
+                start=view.incarnation,
                 service=view.replica.service,
                 state=view.replica.state.value,
             )
-        if notice.rest_ms > 0:
+        if notice.backoff_ms > 0:
             log_change(
                 "replica.rests",
                 replica=view.identity,
-                start=view.life,
+                start=view.incarnation,
                 service=view.replica.service,
-                asked_ms=round(notice.rest_ms),
-                rest_ms=round(view.said.rest_until_ms - now),
+                asked_ms=round(notice.backoff_ms),
+                rest_ms=round(view.reported.backoff_until_ms - now),
             )
         if notice.unreadable and not view.told_unreadable:
             view.told_unreadable = True
             log_change("replica.limit_unreadable", replica=view.identity, named=notice.unreadable)
-        if view.said.limit.number != before.limit.number:
+        if view.reported.limit.number != before.limit.number:
             _tell_limit(view)
-            self._on_limit(view.life, view.said.limit)
+            self._on_limit(view.incarnation, view.reported.limit)
 
-    def note_limit_told(
+    def record_peer_limit(
         self, life: str, number: int, per_second: float | None, told_by: str = ""
     ) -> None:
         """Take what another router tells of the limit of a start of a listed replica."""
@@ -216,10 +216,10 @@
             if view is None:
                 self._keep_told_early(life, number, per_second, told_by)
                 return
-            before = view.said
+            before = view.reported
             limit = before.limit.with_told(number, per_second, now)
-            view.said = replace(before, limit=limit)
-            self.limited = self.limited or bool(limit.number)
+            view.reported = replace(before, limit=limit)
+            self.any_limited = self.any_limited or bool(limit.number)
         if limit.per_second != before.limit.per_second:
             _tell_limit(view, told_by)
 
@@ -228,24 +228,26 @@
     ) -> None:
         """Keep what was told of a start that is not listed here yet; the lock is held."""
         now = self.clock.monotonic_ms()
-        before, _ = self._told_early.get(life, (LimitStatement(), ""))
+        before, _ = self._told_early.get(life, (ReportedLimit(), ""))
         self._told_early[life] = (before.with_told(number, per_second, now), told_by)
         self._told_early.move_to_end(life)
         while len(self._told_early) > _MOST_UNLISTED:
             self._told_early.popitem(last=False)
 
-    def limits(self, most: int) -> dict[str, LimitStatement]:
+    def limits(self, most: int) -> dict[str, ReportedLimit]:
         """Return what starts of listed replicas have ever said of limits, the newest ``most``."""
         with self._lock:
-            found = [view for view in self._views.values() if view.said.limit.number]
-        found.sort(key=lambda view: view.said.limit.known_ms, reverse=True)
-        return {view.life: view.said.limit for view in found[:most]}
+            found = [view for view in self._views.values() if view.reported.limit.number]
+        found.sort(key=lambda view: view.reported.limit.known_ms, reverse=True)
+        return {view.incarnation: view.reported.limit for view in found[:most]}
 
     def replaced(self) -> list[str]:
         """Return the starts of listed replicas that are left out: another one answers there."""
         now = self.clock.monotonic_ms()
         with self._lock:
-            return [view.life for view in self._views.values() if now < view.replaced_until_ms]
+            return [
+                view.incarnation for view in self._views.values() if now < view.replaced_until_ms
+            ]
 
     def _take(self, replica: Replica) -> ReplicaView | None:
         """Take over a record; return the view of the start that it shows to have ended."""
@@ -253,7 +255,7 @@
         if view is None:
             self._begin(self._unlisted_view(replica) or ReplicaView(replica))
             return None
-        if replica.is_another_start(view.replica):
+        if replica.is_other_incarnation(view.replica):
             starts = 0 if replica.born_ms else view.starts + 1
             self._begin(ReplicaView(replica, starts))
             return view
@@ -262,7 +264,7 @@
 
     def _keep_unlisted(self, view: ReplicaView) -> None:
         """Keep what a replica without a record has said: a record may lapse while it lives."""
-        if view.said == SelfStatement():
+        if view.reported == ReportedState():
             return
         self._unlisted[view.identity] = view
         while len(self._unlisted) > _MOST_UNLISTED:
@@ -271,22 +273,22 @@
     def _unlisted_view(self, replica: Replica) -> ReplicaView | None:
         """Return the view of a start whose record is back; None for another start."""
         view = self._unlisted.pop(replica.identity, None)
-        if view is None or replica.is_another_start(view.replica):
+        if view is None or replica.is_other_incarnation(view.replica):
             return None
         view.replica = replica
         return view
 
     def _begin(self, view: ReplicaView) -> None:
         self._views[view.identity] = view
-        told, told_by = self._told_early.pop(view.life, (LimitStatement(), ""))
-        is_told = told.number > view.said.limit.number
+        told, told_by = self._told_early.pop(view.incarnation, (ReportedLimit(), ""))
+        is_told = told.number > view.reported.limit.number
         if is_told:
-            view.said = replace(view.said, limit=told)
+            view.reported = replace(view.reported, limit=told)
         self._note_cold(view)
         log_change(
             "replica.listed",
             replica=view.identity,
-            start=view.life,
+            start=view.incarnation,
             service=view.replica.service,
             address=view.replica.address,
             state=view.replica.state.value,
@@ -317,11 +319,11 @@
 
 
 def _tell_limit(view: ReplicaView, told_by: str = "") -> None:
-    limit = view.said.limit
+    limit = view.reported.limit
     log_change(
         "replica.limited" if limit.is_in_force else "replica.limit_ended",
         replica=view.identity,
-        start=view.life,
+        start=view.incarnation,
         service=view.replica.service,
         per_second=limit.per_second,
         before=limit.before,
--- a/src/aspengate/replicas/_replica.py
+++ b/src/aspengate/replicas/_replica.py
@@ -32,13 +32,15 @@
     number: int = field(default=0, compare=False)
 
     @property
-    def life(self) -> str:
+    def incarnation(self) -> str:
         """The name of this start: what was learnt of another one does not hold for it."""
         return f"{self.identity}@{self.born_ms}" if self.born_ms else self.identity
 
-    def is_another_start(self, other: "Replica") -> bool:
+    def is_other_incarnation(self, other: "Replica") -> bool:
         """Return whether another record of the same identity tells of another start.
 
         Where they tell no time, a number that has gone back does.
         """
-        return self.life != other.life or (not self.born_ms and self.number < other.number)
+        return self.incarnation != other.incarnation or (
+            not self.born_ms and self.number < other.number
+        )
--- a/src/aspengate/replicas/_limit.py
+++ b/src/aspengate/replicas/_reported_limit.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True)
-class LimitStatement:
+class ReportedLimit:
     """What a start of a replica says of its limit, as far as one router knows.
 
     It takes ``per_second`` requests from all routers together, None for as many as come; before
@@ -36,7 +36,7 @@
         """Whether the replica names a limit, by the newest statement."""
         return self.per_second is not None
 
-    def with_answer(self, named: float | None, asked_ms: float, now_ms: float) -> "LimitStatement":
+    def with_answer(self, named: float | None, asked_ms: float, now_ms: float) -> "ReportedLimit":
         """Return the statement with an answer of the replica that names a limit, or none.
 
         Of an answer to a request that was sent before the statement was known, at ``asked_ms``, it
@@ -47,9 +47,9 @@
             return self if named is None else replace(self, known_ms=now_ms)
         if asked_ms < self.known_ms and not _is_narrower(named, self.per_second):
             return self
-        return LimitStatement(self.number + 1, named, self.per_second, now_ms)
+        return ReportedLimit(self.number + 1, named, self.per_second, now_ms)
 
-    def with_told(self, number: int, per_second: float | None, now_ms: float) -> "LimitStatement":
+    def with_told(self, number: int, per_second: float | None, now_ms: float) -> "ReportedLimit":
         """Return the statement with one that another router tells."""
         per_second = per_second if per_second is None else max(per_second, _LEAST_PER_SECOND)
         is_newer = number > self.number
@@ -58,8 +58,8 @@
         if not is_newer:
             return self
         if per_second == self.per_second:
-            return LimitStatement(number, per_second, self.before, self.known_ms)
-        return LimitStatement(number, per_second, self.per_second, now_ms)
+            return ReportedLimit(number, per_second, self.before, self.known_ms)
+        return ReportedLimit(number, per_second, self.per_second, now_ms)
 
     def rate_at(self, now_ms: float) -> float | None:
         """Return how many requests a second the replica may get; None for as many as come."""
--- a/src/aspengate/replicas/_statement.py
+++ b/src/aspengate/replicas/_reported_state.py
@@ -2,11 +2,11 @@
 
 from dataclasses import dataclass, field
 
-from aspengate.replicas._limit import LimitStatement
+from aspengate.replicas._reported_limit import ReportedLimit
 
 # The longest rest that is granted at once, in ms: a replica that asks for 1e9 s by a fault of its
 # own is asked again after ten minutes, and not out of use until it starts anew. A choice.
-LONGEST_REST_MS = 600_000.0
+MAX_BACKOFF_MS = 600_000.0
 
 
 @dataclass(frozen=True)
@@ -20,35 +20,38 @@
     """
 
     leaving: bool = False
-    rest_ms: float = 0.0
+    backoff_ms: float = 0.0
     limit: float | None = None
     unreadable: str = ""
 
     @property
-    def says_anything(self) -> bool:
+    def has_statement(self) -> bool:
         """Whether the answer says more than that it is one."""
-        return bool(self.leaving or self.rest_ms > 0 or self.limit is not None or self.unreadable)
+        return bool(
+            self.leaving or self.backoff_ms > 0 or self.limit is not None or self.unreadable
+        )
 
 
 @dataclass(frozen=True)
-class SelfStatement:
+class ReportedState:
     """All that one start of a replica has said of itself, in the clock's monotonic time.
 
     ``leaving_ms`` is when it said first that it leaves, None where it has not. It wants nothing
-    before ``rest_until_ms``. ``limit`` is what it takes from all routers together: unlike the other
+    before ``backoff_until_ms``. ``limit`` is what it takes from all routers together: unlike the
+    other
     two it holds for no longer than the replica says so.
     """
 
     leaving_ms: float | None = None
-    rest_until_ms: float = float("-inf")
-    limit: LimitStatement = field(default_factory=LimitStatement)
+    backoff_until_ms: float = float("-inf")
+    limit: ReportedLimit = field(default_factory=ReportedLimit)
 
     @property
     def is_leaving(self) -> bool:
         """Whether it leaves: only another start takes that back."""
         return self.leaving_ms is not None
 
-    def with_notice(self, notice: ReplicaNotice, asked_ms: float, now_ms: float) -> "SelfStatement":
+    def with_notice(self, notice: ReplicaNotice, asked_ms: float, now_ms: float) -> "ReportedState":
         """Return the statement with an answer to a request that was sent at ``asked_ms``.
 
         It never takes back that the replica leaves, nor a rest.
@@ -56,11 +59,11 @@
         leaving_ms = self.leaving_ms
         if notice.leaving and leaving_ms is None:
             leaving_ms = now_ms
-        rest_until_ms = self.rest_until_ms
-        if notice.rest_ms > 0:
-            rest_ms = min(notice.rest_ms, LONGEST_REST_MS)
-            rest_until_ms = max(rest_until_ms, now_ms + rest_ms)
+        backoff_until_ms = self.backoff_until_ms
+        if notice.backoff_ms > 0:
+            rest_ms = min(notice.backoff_ms, MAX_BACKOFF_MS)
+            backoff_until_ms = max(backoff_until_ms, now_ms + rest_ms)
         limit = self.limit
         if not notice.unreadable:
             limit = limit.with_answer(notice.limit, asked_ms, now_ms)
-        return SelfStatement(leaving_ms, rest_until_ms, limit)
+        return ReportedState(leaving_ms, backoff_until_ms, limit)
--- a/src/aspengate/replicas/_parts.py
+++ b/src/aspengate/replicas/_segments.py
@@ -7,7 +7,7 @@
 _REPLICAS_A_PART = 6
 
 
-class PartMemory:
+class SegmentTracker:
     """Remembers to which replicas this router sent each part lately.
 
     It holds at most ``capacity`` parts; the least recently used is forgotten first.
@@ -18,7 +18,7 @@
         self._holders: OrderedDict[str, dict[str, float]] = OrderedDict()
         self._lock = threading.Lock()
 
-    def note(self, part: str, replica: str, now_ms: float) -> None:
+    def record_sent(self, part: str, replica: str, now_ms: float) -> None:
         """Remember that a replica was sent a prompt with ``part``."""
         with self._lock:
             holders = self._holders.pop(part, {})
--- a/src/aspengate/replicas/_view.py
+++ b/src/aspengate/replicas/_view.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from aspengate.replicas._replica import Replica
-from aspengate.replicas._statement import SelfStatement
+from aspengate.replicas._reported_state import ReportedState
 
 # A third failure in a row brings the rate to about 0.7; fading keeps a replica that was mended out
 # for some seconds only. Choices.
@@ -46,17 +46,17 @@
 
 
 @dataclass
-class Work:
+class InFlightRequest:
     """One request at a replica; ``tokens`` of its prompt are probably to be read.
 
     ``gap_aim_ms`` is the longest pause between its events that is in time, 0 where it has none;
     ``longest_gap_ms`` is the longest so far. Times are in monotonic milliseconds.
     """
 
-    begun_ms: float
+    started_ms: float
     tokens: float = 0.0
     gap_aim_ms: float = 0.0
-    answered: bool = False
+    has_response: bool = False
     last_event_ms: float = 0.0
     longest_gap_ms: float = 0.0
     gaps: list[float] = field(default_factory=list)
@@ -88,18 +88,18 @@
         self.slowness = 1.0
         self.interval_ms = 0.0
         self.answer_ms = _USUAL_ANSWER_MS
-        self.last_sign_ms = float("-inf")
+        self.last_activity_ms = float("-inf")
         self.avoid_until_ms = float("-inf")
         self.replaced_until_ms = float("-inf")
         self.cold_until_ms = float("-inf")
         self.returned_ms = float("-inf")
-        self.said = SelfStatement()
+        self.reported = ReportedState()
         self.told_unreadable = False
         self._failure_rate = 0.0
         self._failed_ms = 0.0
         self._late_part = 0.0
         self._late_ms = 0.0
-        self._works: dict[int, Work] = {}
+        self._works: dict[int, InFlightRequest] = {}
         self._others: list[tuple[float, float]] = []
         self._gaps: deque[tuple[float, float]] = deque(maxlen=_MOST_GAPS)
         self._lock = threading.Lock()
@@ -110,10 +110,10 @@
         return self.replica.identity
 
     @property
-    def life(self) -> str:
+    def incarnation(self) -> str:
         """The name of its present start, which no other one has at this router."""
         mark = f"{_START_MARK}{self.starts}" if self.starts else ""
-        return f"{self.replica.life}{mark}"
+        return f"{self.replica.incarnation}{mark}"
 
     @property
     def in_flight(self) -> int:
@@ -128,7 +128,7 @@
     def backlog_tokens(self) -> float:
         """The prompt tokens of this router's requests that wait there to be read."""
         with self._lock:
-            return sum(work.tokens for work in self._works.values() if not work.answered)
+            return sum(work.tokens for work in self._works.values() if not work.has_response)
 
     @property
     def was_replaced(self) -> bool:
@@ -146,9 +146,9 @@
         """Return how many requests probably wait there for their first token, of all routers."""
         self.others_tokens(now_ms)
         with self._lock:
-            return len(self._others) + sum(not work.answered for work in self._works.values())
+            return len(self._others) + sum(not work.has_response for work in self._works.values())
 
-    def note_placed(self, tokens: float, expected_ms: float, now_ms: float) -> None:
+    def record_remote_request(self, tokens: float, expected_ms: float, now_ms: float) -> None:
         """Note a request of another router, whose first token is expected after ``expected_ms``.
 
         It is taken to be read by then: nobody tells of its first token.
@@ -157,7 +157,7 @@
             if len(self._others) < _MOST_OTHERS:
                 heapq.heappush(self._others, (now_ms + expected_ms, tokens))
 
-    def streams_in_time(self) -> list[Work]:
+    def streams_in_time(self) -> list[InFlightRequest]:
         """Return this router's streams there that made no pause beyond their aim yet."""
         with self._lock:
             return [work for work in self._works.values() if work.is_in_time]
@@ -175,32 +175,34 @@
     def is_silent(self, now_ms: float) -> bool:
         """Return whether nothing came for long though some request waits for its beginning."""
         with self._lock:
-            waiting = [work.begun_ms for work in self._works.values() if not work.answered]
+            waiting = [work.started_ms for work in self._works.values() if not work.has_response]
         if not waiting:
             return False
-        return now_ms - max(self.last_sign_ms, min(waiting)) > _SILENT_MS
+        return now_ms - max(self.last_activity_ms, min(waiting)) > _SILENT_MS
 
-    def begin(self, now_ms: float, tokens: float, gap_aim_ms: float = 0.0) -> Work:
+    def begin(self, now_ms: float, tokens: float, gap_aim_ms: float = 0.0) -> InFlightRequest:
         """Count a request in."""
-        work = Work(now_ms, tokens, gap_aim_ms)
+        work = InFlightRequest(now_ms, tokens, gap_aim_ms)
         with self._lock:
             self._works[work.number] = work
         return work
 
-    def first_answer(self, work: Work, expected_ms: float, now_ms: float) -> None:
+    def record_first_response(
+        self, work: InFlightRequest, expected_ms: float, now_ms: float
+    ) -> None:
         """Note that a request's answer has begun, which usually takes ``expected_ms``."""
-        if work.answered:
+        if work.has_response:
             return
         with self._lock:
-            work.answered = True
-        self.last_sign_ms = now_ms
-        observed = (now_ms - work.begun_ms) / max(1.0, expected_ms)
+            work.has_response = True
+        self.last_activity_ms = now_ms
+        observed = (now_ms - work.started_ms) / max(1.0, expected_ms)
         bounded = min(_MOST_SLOWNESS, max(_LEAST_SLOWNESS, observed))
         self.slowness += _SLOWNESS_WEIGHT * (bounded - self.slowness)
 
-    def event(self, work: Work, now_ms: float) -> None:
+    def record_event(self, work: InFlightRequest, now_ms: float) -> None:
         """Note that an event of a stream has come."""
-        self.last_sign_ms = now_ms
+        self.last_activity_ms = now_ms
         if work.last_event_ms:
             gap_ms = now_ms - work.last_event_ms
             work.longest_gap_ms = max(work.longest_gap_ms, gap_ms)
@@ -210,7 +212,7 @@
                 self._gaps.append((now_ms, gap_ms))
         work.last_event_ms = now_ms
 
-    def longest_pause_since(self, since_ms: float, now_ms: float, own: Work) -> float:
+    def longest_pause_since(self, since_ms: float, now_ms: float, own: InFlightRequest) -> float:
         """Return the longest pause of other streams that ended after a time or goes on, in ms."""
         with self._lock:
             others = [work for work in self._works.values() if work is not own]
@@ -218,11 +220,11 @@
         going_on = [now_ms - work.last_event_ms for work in others if work.last_event_ms]
         return max((*ended, *going_on), default=0.0)
 
-    def sign_of_life(self, now_ms: float) -> None:
+    def record_activity(self, now_ms: float) -> None:
         """Note that something came from the replica."""
-        self.last_sign_ms = now_ms
+        self.last_activity_ms = now_ms
 
-    def end(self, work: Work, now_ms: float) -> None:
+    def end(self, work: InFlightRequest, now_ms: float) -> None:
         """Count a request out, and learn from its stream."""
         with self._lock:
             self._works.pop(work.number, None)
@@ -236,17 +238,17 @@
                 self._late_part = part + _LATE_WEIGHT * (is_late - part)
                 self._late_ms = now_ms
 
-    def succeeded(self, now_ms: float, answer_ms: float | None = None) -> None:
+    def record_success(self, now_ms: float, answer_ms: float | None = None) -> None:
         """Note a whole answer; ``answer_ms`` is how long it took, where that tells anything."""
         self._note(0.0, now_ms)
         if answer_ms is not None:
             self.answer_ms += _ANSWER_WEIGHT * (answer_ms - self.answer_ms)
 
-    def failed(self, now_ms: float) -> None:
+    def record_failure(self, now_ms: float) -> None:
         """Note a request that the replica failed."""
         self._note(1.0, now_ms)
 
-    def unreached(self, now_ms: float, pause_ms: float) -> None:
+    def record_unreachable(self, now_ms: float, pause_ms: float) -> None:
         """Note that no connection came up; the replica is avoided for a while."""
         self.avoid_until_ms = now_ms + pause_ms
 
