--- a/src/aspengate/replicas/__init__.py
+++ b/src/aspengate/replicas/__init__.py
@@ -1,4 +1,4 @@
-"""The replicas that are known, how they do, and which of them a request may go to."""
+"""Listed replicas, what is known of each one, and the choice of one for a request."""
 
 from aspengate.replicas._availability import Availability
 from aspengate.replicas._choice import (
--- a/src/aspengate/replicas/_availability.py
+++ b/src/aspengate/replicas/_availability.py
@@ -1,4 +1,4 @@
-"""Whether a router may send a replica a new request, or the reason why not."""
+"""Decides whether a replica may get new requests, with the reason if not."""
 
 import enum
 from collections.abc import Collection
@@ -8,7 +8,10 @@
 
 
 class Availability(enum.Enum):
-    """What keeps a replica from new requests; of several reasons the one that comes first here."""
+    """Why a replica gets no new requests; if several reasons apply, the first one here.
+
+    The values appear in the reasons of refused requests.
+    """
 
     DRAINING = "drains by its record"
     LEAVING = "said that it leaves"
@@ -18,28 +21,29 @@
     OPEN = "takes requests"
 
 
-# Looked up once: it is asked for each replica of a service with each request.
+# Looked up once, as availability is computed for each replica of a service on each request.
 _READY = ReplicaState.READY
 _OPEN = Availability.OPEN
 
 
 def availability_of(view: ReplicaView, evacuated: Collection[str], now_ms: float) -> Availability:
-    """Return what one start of a replica may get at a moment, by all that is known of it.
+    """Return the availability of one incarnation of a replica at ``now_ms``.
 
-    A replica is heard by three ways: its record, its answers, and another's answer at its address.
-    Each way is as good as the others: while the store was away, a record still read ready 12.8 s
-    after the replica's answers said that it leaves.
+    It follows from three sources that count equally: the record, the replica's responses, and
+    responses of another replica at its address. A record alone is not enough: while the store was
+    unavailable, a record was still marked ready 12.8 s after the replica's responses reported that
+    it was leaving.
     """
     replica = view.replica
-    said = view.reported
+    reported = view.reported
     if replica.state is not _READY:
         return Availability.DRAINING
-    if said.leaving_ms is not None:
+    if reported.leaving_ms is not None:
         return Availability.LEAVING
     if replica.failure_domain in evacuated:
         return Availability.EVACUATED
     if now_ms < view.replaced_until_ms:
         return Availability.REPLACED
-    if now_ms < said.backoff_until_ms:
+    if now_ms < reported.backoff_until_ms:
         return Availability.RESTING
     return _OPEN
--- a/src/aspengate/replicas/_pauses.py
+++ b/src/aspengate/replicas/_pauses.py
@@ -1,27 +1,27 @@
-"""How long streams pause at a replica while it reads a prompt, learned from streams seen.
+"""Estimates how long streams at a replica pause while it reads a prompt.
 
-An engine reads a prompt in pieces between the steps that make tokens for all its streams, so that
-a long prompt holds up each of them, at a slow replica longer than at a fast one.
+An engine reads a prompt in chunks between the decoding steps of its streams, so that a long prompt
+delays each of them, at a slow replica longer than at a fast one.
 """
 
 import math
 import threading
 
-# A pause is a noisy sample; 0.15 averages about six.
+# A pause is a noisy sample; this weight averages over about six of them.
 _WEIGHT = 0.15
-# Half octaves: pauses double from 4,000 to 12,000 tokens of a prompt, measured on pliego-aspen.
-_SIZES_AN_OCTAVE = 2
-# Where a pause comes to lie around a stream's aim can't be foretold exactly: from this part of
-# the aim on some streams are hurt, from the other on all. A choice; pauses vary by about a tenth.
-_RISKY_PART = 0.9
-_HURT_PART = 1.15
+# Half octaves, since pauses double between prompts of 4,000 and of 12,000 tokens.
+_BUCKETS_PER_OCTAVE = 2
+# Ratios of an expected pause to a stream's longest allowed pause: the risk of missing the allowed
+# pause rises from 0 at the first ratio to 1 at the second. Pauses vary by about a tenth.
+_MIN_RISK_RATIO = 0.9
+_CERTAIN_RISK_RATIO = 1.15
 
 
 class PauseModel:
-    """The longest pause of other streams while a prompt is read, by the size of the prompt.
+    """Estimates the longest pause of other streams while a prompt is read, by prompt size.
 
-    Pauses are kept in units of the replica's usual interval between events, so that what was seen
-    at one replica tells of the others, faster or slower.
+    Pauses are kept in units of the replica's usual interval between events, so that samples of one
+    replica apply to faster and slower ones.
     """
 
     def __init__(self) -> None:
@@ -29,26 +29,26 @@
         self._intervals: dict[int, float] = {}
 
     def record(self, tokens: float, pause_ms: float, interval_ms: float) -> None:
-        """Learn from a prompt of ``tokens`` that was read while streams ran beside it."""
-        size = _size(tokens)
+        """Record the longest pause of other streams while a prompt of ``tokens`` was read."""
+        bucket = _bucket(tokens)
         intervals = pause_ms / interval_ms
         with self._lock:
-            before = self._intervals.get(size, intervals)
-            self._intervals[size] = before + _WEIGHT * (intervals - before)
+            before = self._intervals.get(bucket, intervals)
+            self._intervals[bucket] = before + _WEIGHT * (intervals - before)
 
     def expected_ms(self, tokens: float, interval_ms: float) -> float:
-        """Return the pause that a prompt would cause, 0 where none like it was seen."""
+        """Return the pause that a prompt would cause, 0 if no sample of its size exists."""
         with self._lock:
-            return self._intervals.get(_size(tokens), 0.0) * interval_ms
+            return self._intervals.get(_bucket(tokens), 0.0) * interval_ms
 
 
-def risk(pause_ms: float, aim_ms: float) -> float:
-    """Return how likely a stream with a pause of ``pause_ms`` misses its aim, 0 to 1."""
+def miss_probability(pause_ms: float, aim_ms: float) -> float:
+    """Return the probability, 0 to 1, that an expected pause exceeds the allowed one."""
     if aim_ms <= 0:
         return 0.0
-    part = (pause_ms / aim_ms - _RISKY_PART) / (_HURT_PART - _RISKY_PART)
-    return min(1.0, max(0.0, part))
+    probability = (pause_ms / aim_ms - _MIN_RISK_RATIO) / (_CERTAIN_RISK_RATIO - _MIN_RISK_RATIO)
+    return min(1.0, max(0.0, probability))
 
 
-def _size(tokens: float) -> int:
-    return int(_SIZES_AN_OCTAVE * math.log2(max(1.0, tokens)))
+def _bucket(tokens: float) -> int:
+    return int(_BUCKETS_PER_OCTAVE * math.log2(max(1.0, tokens)))
--- a/src/aspengate/replicas/_registry.py
+++ b/src/aspengate/replicas/_registry.py
@@ -1,4 +1,4 @@
-"""The replicas of each service that are listed."""
+"""Registry of the listed replicas, with what their records, responses and peers report."""
 
 import threading
 from collections import Counter, OrderedDict, defaultdict
@@ -15,61 +15,63 @@
 from aspengate.store import number_of
 from aspengate.telemetry import log_change
 
-# How long a start of a replica is left out after another one has answered at its address, in ms.
-# Its record goes or tells of another start sooner: this only bounds the harm of a false answer.
-_REPLACED_MS = 15_000.0
-# Of so many replicas that are not listed any more it is kept what they said of themselves: each
-# takes 1.6 KB (tracemalloc). A choice; a day ends about as many.
-_MOST_UNLISTED = 1_024
+# How long an incarnation gets no requests after another replica responded at its address. Usually
+# its record is removed or replaced earlier; this bounds the effect of a wrong response.
+_REPLACED_EXCLUSION_MS = 15_000.0
+# Limit on the unlisted replicas whose reported state is kept, at 1.6 KB each; about as many
+# replicas terminate in a day.
+_MAX_UNLISTED = 1_024
 
 
 OnLimit = Callable[[str, ReportedLimit], None]
 
 
 class ReplicaRegistry:
-    """All replicas that are listed; ``on_gone`` is called with the view of each start that ended.
+    """Holds a view of each listed replica.
 
-    ``on_limit`` is called with the name of a start, and what it says of its limit, where an answer
-    that this router got tells something new. While ``limited`` is False no listed replica is held
-    to a limit.
+    ``on_gone`` is called with the view of each incarnation that has ended or is no longer listed.
+    ``on_limit`` is called with the name of an incarnation and its limit if a response to this
+    router changed the limit. While ``any_limited`` is False, no listed replica is limited.
 
-    One that starts again under its id is another one: it knows nothing of before, and nothing that
-    was learnt of the earlier start holds for it. A record may lapse while its replica lives: what
-    that one said of itself in its answers holds on when the record is back.
+    A replica that restarts under its id gets a new view: nothing recorded for the earlier
+    incarnation applies to it. A record may lapse while its replica runs; the state that the replica
+    has reported in responses still applies when the record is back.
     """
 
     def __init__(
         self,
         clock: Clock,
         on_gone: Callable[[ReplicaView], None],
-        on_limit: OnLimit = lambda _life, _limit: None,
+        on_limit: OnLimit = lambda _incarnation, _limit: None,
     ) -> None:
         self.clock = clock
         self.any_limited = False
         self.revision = 0
         self._views: dict[str, ReplicaView] = {}
-        self._lives: dict[str, ReplicaView] = {}
-        # Made anew with each change of the list, and never changed: it is read without the lock.
+        self._incarnations: dict[str, ReplicaView] = {}
+        # Replaced with each change of the list and never mutated, as it is read without the lock.
         self._services: dict[str, tuple[ReplicaView, ...]] = {}
         self._unlisted: OrderedDict[str, ReplicaView] = OrderedDict()
-        # What others told of limits of starts that are not listed here yet.
-        self._told_early: OrderedDict[str, tuple[ReportedLimit, str]] = OrderedDict()
+        # Limits that other routers reported for incarnations that are not listed here yet.
+        self._early_limits: OrderedDict[str, tuple[ReportedLimit, str]] = OrderedDict()
         self._evacuated: dict[str, float] = {}
         self._on_gone = on_gone
         self._on_limit = on_limit
         self._lock = threading.Lock()
 
     def update(self, replicas: Iterable[Replica], revision: int = 0) -> None:
-        """Take over the list of replicas as of the store's ``revision``."""
+        """Replace the list of replicas by that of the store's ``revision``."""
         listed = {replica.identity: replica for replica in replicas}
         now = self.clock.monotonic_ms()
         with self._lock:
             self.revision = revision
             gone = [self._views.pop(each) for each in set(self._views) - set(listed)]
             for lapsed in gone:
-                self._keep_unlisted(lapsed)
-            ended = [view for each in listed.values() if (view := self._take(each)) is not None]
-            self._lives = {view.incarnation: view for view in self._views.values()}
+                self._retain_unlisted(lapsed)
+            ended = [
+                view for each in listed.values() if (view := self._apply_record(each)) is not None
+            ]
+            self._incarnations = {view.incarnation: view for view in self._views.values()}
             self._services = _by_service(self._views.values())
             views = self._views.values()
             self.any_limited = any(view.reported.limit.rate_at(now) is not None for view in views)
@@ -80,11 +82,11 @@
 
     @property
     def evacuated(self) -> tuple[str, ...]:
-        """The failure domains whose replicas get nothing, in alphabetical order."""
+        """The evacuated failure domains, in alphabetical order."""
         return tuple(sorted(self._evacuated))
 
     def set_evacuations(self, evacuations: Iterable[Evacuation]) -> None:
-        """Take over all evacuations that are in force; those before end where not among them."""
+        """Replace the evacuations in force; earlier ones that are missing have ended."""
         asked = {each.failure_domain: each for each in evacuations}
         now = self.clock.monotonic_ms()
         with self._lock:
@@ -92,7 +94,7 @@
             self._evacuated = {domain: before.get(domain, now) for domain in asked}
             for view in self._views.values():
                 if view.replica.failure_domain in set(before) - set(asked):
-                    view.returned_ms = now
+                    view.evacuation_ended_ms = now
         for domain in sorted(set(asked) - set(before)):
             log_change(
                 "evacuation.began",
@@ -104,7 +106,7 @@
             log_change("evacuation.ended", failure_domain=domain, in_force_ms=in_force_ms)
 
     def ready(self, service: str, excluded: Collection[str] = ()) -> list[ReplicaView]:
-        """Return the views of a service's replicas that take new requests."""
+        """Return the views of a service's available replicas, without those ``excluded`` by id."""
         now = self.clock.monotonic_ms()
         evacuated, is_open = self._evacuated, Availability.OPEN
         views = self._of_service(service)
@@ -112,15 +114,15 @@
         return [view for view in ready if view.identity not in excluded] if excluded else ready
 
     def availability(self, view: ReplicaView) -> Availability:
-        """Return whether a start of a replica may get a request now, or why not."""
+        """Return whether an incarnation may get a request now, or why not."""
         return availability_of(view, self._evacuated, self.clock.monotonic_ms())
 
     def availability_counts(self, service: str) -> dict[Availability, int]:
-        """Return how many of a service's listed replicas have each standing."""
+        """Return the number of a service's listed replicas by availability."""
         return dict(Counter(self.availability(view) for view in self._of_service(service)))
 
     def gauges(self) -> dict[str, float]:
-        """Return how many listed replicas say in their answers that they leave or want rest."""
+        """Return how many listed replicas are leaving, backing off or limited."""
         with self._lock:
             views = list(self._views.values())
         found = Counter(self.availability(view) for view in views)
@@ -131,7 +133,7 @@
         }
 
     def backoff_left_ms(self, service: str) -> float:
-        """Return when the first of a service's resting replicas takes requests again, in ms."""
+        """Return the time, in ms, to the end of the first backoff of a service's replicas, or 0."""
         now = self.clock.monotonic_ms()
         ends = [
             view.reported.backoff_until_ms
@@ -144,43 +146,44 @@
         return self._services.get(service, ())
 
     def view(self, identity: str) -> ReplicaView | None:
-        """Return the view of a listed replica."""
+        """Return the view of a listed replica, None if it is not listed."""
         with self._lock:
             return self._views.get(identity)
 
-    def view_of_incarnation(self, life: str) -> ReplicaView | None:
-        """Return the view of a start of a listed replica; None where it has ended."""
+    def view_of_incarnation(self, incarnation: str) -> ReplicaView | None:
+        """Return the view of an incarnation by name, None if it is not listed."""
         with self._lock:
-            return self._lives.get(life)
+            return self._incarnations.get(incarnation)
 
-    def record_replaced(self, life: str, told_by: str = "") -> None:
-        """Leave a start of a replica out: another one answers there, though it is still listed.
+    def record_replaced(self, incarnation: str, reported_by: str = "") -> None:
+        """Exclude a listed incarnation for a time, as another replica responded at its address.
 
-        ``told_by`` is the router that saw it, empty for this one. What others tell counts once:
-        they would keep each other's word alive.
+        ``reported_by`` is the router that observed it, empty for this one. A report of another
+        router counts only once per incarnation, as routers would otherwise renew each other's
+        reports without end.
         """
         now = self.clock.monotonic_ms()
         with self._lock:
-            view = self._lives.get(life)
+            view = self._incarnations.get(incarnation)
             if view is None or now < view.replaced_until_ms:
                 return
-            if told_by and view.was_replaced:
+            if reported_by and view.was_replaced:
                 return
-            view.replaced_until_ms = now + _REPLACED_MS
-        log_change("replica.replaced", replica=life, told_by=told_by)
+            view.replaced_until_ms = now + _REPLACED_EXCLUSION_MS
+        log_change("replica.replaced", replica=incarnation, told_by=reported_by)
 
     def record_notice(
         self, view: ReplicaView, notice: ReplicaNotice, asked_ms: float = float("inf")
     ) -> None:
-        """Take what a start of a replica says of itself in an answer.
+        """Record the state that an incarnation reports in a response.
 
-        The request that it answers was sent at ``asked_ms``, in monotonic time.
+        Its request was sent at ``asked_ms``, in monotonic time.
         """
         now = self.clock.monotonic_ms()
         with self._lock:
             before, view.reported = view.reported, view.reported.with_notice(notice, asked_ms, now)
             if view.identity not in self._views:
-                self._keep_unlisted(view)
+                self._retain_unlisted(view)
             self.any_limited = self.any_limited or bool(view.reported.limit.number)
         if view.reported.is_leaving and not before.is_leaving:
             log_change(
@@ -199,92 +202,98 @@
                 asked_ms=round(notice.backoff_ms),
                 rest_ms=round(view.reported.backoff_until_ms - now),
             )
-        if notice.unreadable and not view.told_unreadable:
-            view.told_unreadable = True
+        if notice.unreadable and not view.unreadable_logged:
+            view.unreadable_logged = True
             log_change("replica.limit_unreadable", replica=view.identity, named=notice.unreadable)
         if view.reported.limit.number != before.limit.number:
-            _tell_limit(view)
+            _log_limit(view)
             self._on_limit(view.incarnation, view.reported.limit)
 
     def record_peer_limit(
-        self, life: str, number: int, per_second: float | None, told_by: str = ""
+        self, incarnation: str, number: int, per_second: float | None, reported_by: str = ""
     ) -> None:
-        """Take what another router tells of the limit of a start of a listed replica."""
+        """Record a limit that another router reports for an incarnation.
+
+        If the incarnation is not listed here yet, the limit is kept until it is.
+        """
         now = self.clock.monotonic_ms()
         with self._lock:
-            view = self._lives.get(life)
+            view = self._incarnations.get(incarnation)
             if view is None:
-                self._keep_told_early(life, number, per_second, told_by)
+                self._store_early_limit(incarnation, number, per_second, reported_by)
                 return
             before = view.reported
-            limit = before.limit.with_told(number, per_second, now)
+            limit = before.limit.with_peer_report(number, per_second, now)
             view.reported = replace(before, limit=limit)
             self.any_limited = self.any_limited or bool(limit.number)
         if limit.per_second != before.limit.per_second:
-            _tell_limit(view, told_by)
+            _log_limit(view, reported_by)
 
-    def _keep_told_early(
-        self, life: str, number: int, per_second: float | None, told_by: str
+    def _store_early_limit(
+        self, incarnation: str, number: int, per_second: float | None, reported_by: str
     ) -> None:
-        """Keep what was told of a start that is not listed here yet; the lock is held."""
+        """Keep the limit of an incarnation that is not listed yet; the caller holds the lock."""
         now = self.clock.monotonic_ms()
-        before, _ = self._told_early.get(life, (ReportedLimit(), ""))
-        self._told_early[life] = (before.with_told(number, per_second, now), told_by)
-        self._told_early.move_to_end(life)
-        while len(self._told_early) > _MOST_UNLISTED:
-            self._told_early.popitem(last=False)
-
-    def limits(self, most: int) -> dict[str, ReportedLimit]:
-        """Return what starts of listed replicas have ever said of limits, the newest ``most``."""
+        before, _ = self._early_limits.get(incarnation, (ReportedLimit(), ""))
+        self._early_limits[incarnation] = (
+            before.with_peer_report(number, per_second, now),
+            reported_by,
+        )
+        self._early_limits.move_to_end(incarnation)
+        while len(self._early_limits) > _MAX_UNLISTED:
+            self._early_limits.popitem(last=False)
+
+    def limits(self, max_count: int) -> dict[str, ReportedLimit]:
+        """Return limits by incarnation, including those that ended, newest first up to a count."""
         with self._lock:
             found = [view for view in self._views.values() if view.reported.limit.number]
-        found.sort(key=lambda view: view.reported.limit.known_ms, reverse=True)
-        return {view.incarnation: view.reported.limit for view in found[:most]}
+        found.sort(key=lambda view: view.reported.limit.updated_ms, reverse=True)
+        return {view.incarnation: view.reported.limit for view in found[:max_count]}
 
     def replaced(self) -> list[str]:
-        """Return the starts of listed replicas that are left out: another one answers there."""
+        """Return the listed incarnations that are excluded by ``record_replaced``."""
         now = self.clock.monotonic_ms()
         with self._lock:
             return [
                 view.incarnation for view in self._views.values() if now < view.replaced_until_ms
             ]
 
-    def _take(self, replica: Replica) -> ReplicaView | None:
-        """Take over a record; return the view of the start that it shows to have ended."""
+    def _apply_record(self, replica: Replica) -> ReplicaView | None:
+        """Apply a record; return the view of the earlier incarnation if the record ends it."""
         view = self._views.get(replica.identity)
         if view is None:
-            self._begin(self._unlisted_view(replica) or ReplicaView(replica))
+            self._add_view(self._unlisted_view(replica) or ReplicaView(replica))
             return None
         if replica.is_other_incarnation(view.replica):
-            starts = 0 if replica.born_ms else view.starts + 1
-            self._begin(ReplicaView(replica, starts))
+            starts = 0 if replica.born_ms else view.previous_starts + 1
+            self._add_view(ReplicaView(replica, starts))
             return view
-        self._update(view, replica)
+        self._update_record(view, replica)
         return None
 
-    def _keep_unlisted(self, view: ReplicaView) -> None:
-        """Keep what a replica without a record has said: a record may lapse while it lives."""
+    def _retain_unlisted(self, view: ReplicaView) -> None:
+        """Keep the state that a replica without a record has reported, as the record may return."""
         if view.reported == ReportedState():
             return
         self._unlisted[view.identity] = view
-        while len(self._unlisted) > _MOST_UNLISTED:
+        while len(self._unlisted) > _MAX_UNLISTED:
             self._unlisted.popitem(last=False)
 
     def _unlisted_view(self, replica: Replica) -> ReplicaView | None:
-        """Return the view of a start whose record is back; None for another start."""
+        """Return the kept view of an incarnation whose record is back, or None."""
         view = self._unlisted.pop(replica.identity, None)
         if view is None or replica.is_other_incarnation(view.replica):
             return None
         view.replica = replica
         return view
 
-    def _begin(self, view: ReplicaView) -> None:
+    def _add_view(self, view: ReplicaView) -> None:
         self._views[view.identity] = view
-        told, told_by = self._told_early.pop(view.incarnation, (ReportedLimit(), ""))
-        is_told = told.number > view.reported.limit.number
-        if is_told:
-            view.reported = replace(view.reported, limit=told)
-        self._note_cold(view)
+        early, reported_by = self._early_limits.pop(view.incarnation, (ReportedLimit(), ""))
+        is_early = early.number > view.reported.limit.number
+        if is_early:
+            view.reported = replace(view.reported, limit=early)
+        self._update_cold_until(view)
         log_change(
             "replica.listed",
             replica=view.identity,
@@ -294,10 +303,10 @@
             state=view.replica.state.value,
             revision=number_of(self.revision),
         )
-        if is_told:
-            _tell_limit(view, told_by)
+        if is_early:
+            _log_limit(view, reported_by)
 
-    def _update(self, view: ReplicaView, replica: Replica) -> None:
+    def _update_record(self, view: ReplicaView, replica: Replica) -> None:
         if view.replica.state is not replica.state:
             log_change(
                 "replica.state",
@@ -307,10 +316,10 @@
             )
         is_changed, view.replica = view.replica != replica, replica
         if is_changed:
-            self._note_cold(view)
+            self._update_cold_until(view)
 
-    def _note_cold(self, view: ReplicaView) -> None:
-        """Take over how long a replica says that it is still cold, in a record that is new here."""
+    def _update_cold_until(self, view: ReplicaView) -> None:
+        """Update until when a replica is cold from its new record."""
         now = self.clock.monotonic_ms()
         was_cold = now < view.cold_until_ms
         view.cold_until_ms = now + view.replica.cold_ms
@@ -318,7 +327,7 @@
             log_change("replica.cold", replica=view.identity, cold_ms=round(view.replica.cold_ms))
 
 
-def _tell_limit(view: ReplicaView, told_by: str = "") -> None:
+def _log_limit(view: ReplicaView, reported_by: str = "") -> None:
     limit = view.reported.limit
     log_change(
         "replica.limited" if limit.is_in_force else "replica.limit_ended",
@@ -326,9 +335,9 @@
         start=view.incarnation,
         service=view.replica.service,
         per_second=limit.per_second,
-        before=limit.before,
+        before=limit.previous_per_second,
         number=limit.number,
-        told_by=told_by,
+        told_by=reported_by,
     )
 
 
--- a/src/aspengate/replicas/_replica.py
+++ b/src/aspengate/replicas/_replica.py
@@ -1,4 +1,4 @@
-"""What a replica says of itself."""
+"""A replica as its record in the store describes it."""
 
 import enum
 from dataclasses import dataclass, field
@@ -13,12 +13,12 @@
 
 @dataclass(frozen=True)
 class Replica:
-    """One replica as of its record; it may start again under its ``identity``.
+    """One replica as of its record; it may restart under the same ``identity``.
 
-    ``born_ms`` is when it started, in milliseconds since the Unix epoch, 0 where it does not say;
-    ``number`` is that of its record, which begins anew with each start and is not compared.
-    ``slots`` is how many requests it works on at once. ``cold_ms`` is how long it is still cold, as
-    of its record: it bears few requests then.
+    ``born_ms`` is its start time in milliseconds since the Unix epoch, 0 if the record has none.
+    ``number`` is the sequence number of the record; it starts over with each start and is not
+    compared. ``slots`` is how many requests it processes concurrently. ``cold_ms`` is how long it
+    stays cold from the time of the record on, during which it can take only few requests.
     """
 
     identity: str
@@ -33,13 +33,13 @@
 
     @property
     def incarnation(self) -> str:
-        """The name of this start: what was learnt of another one does not hold for it."""
+        """The name of this start; nothing recorded for another start applies to it."""
         return f"{self.identity}@{self.born_ms}" if self.born_ms else self.identity
 
     def is_other_incarnation(self, other: "Replica") -> bool:
-        """Return whether another record of the same identity tells of another start.
+        """Return whether an earlier record ``other`` of this identity is of another start.
 
-        Where they tell no time, a number that has gone back does.
+        Without start times, a sequence number that has decreased indicates another start.
         """
         return self.incarnation != other.incarnation or (
             not self.born_ms and self.number < other.number
--- a/src/aspengate/replicas/_reported_state.py
+++ b/src/aspengate/replicas/_reported_state.py
@@ -1,22 +1,22 @@
-"""What one start of a replica has said of itself in its answers."""
+"""The state that a replica reports in its responses."""
 
 from dataclasses import dataclass, field
 
 from aspengate.replicas._reported_limit import ReportedLimit
 
-# The longest rest that is granted at once, in ms: a replica that asks for 1e9 s by a fault of its
-# own is asked again after ten minutes, and not out of use until it starts anew. A choice.
+# The longest backoff that one response can start. A replica that asks for 1e9 s by mistake is tried
+# again after ten minutes instead of staying unused until it restarts.
 MAX_BACKOFF_MS = 600_000.0
 
 
 @dataclass(frozen=True)
 class ReplicaNotice:
-    """What a replica says of itself in one answer.
+    """The state that a replica reports in one response.
 
-    ``leaving`` tells that it is going to end; ``rest_ms`` is for how long it wants no request from
-    this router, 0 where it does not say. ``limit`` is how many requests a second it takes from all
-    routers together, None where it names no limit; ``unreadable`` is what it named instead of one,
-    which says nothing.
+    ``leaving`` is whether it is about to terminate. ``backoff_ms`` is for how long it asks this
+    router to send no requests, 0 if it does not ask. ``limit`` is how many requests per second it
+    accepts from all routers together, None for no limit. ``unreadable`` is the value of a limit
+    that could not be parsed; such a value leaves the known limit unchanged.
     """
 
     leaving: bool = False
@@ -26,7 +26,7 @@
 
     @property
     def has_statement(self) -> bool:
-        """Whether the answer says more than that it is one."""
+        """Whether the response reports any state."""
         return bool(
             self.leaving or self.backoff_ms > 0 or self.limit is not None or self.unreadable
         )
@@ -34,12 +34,11 @@
 
 @dataclass(frozen=True)
 class ReportedState:
-    """All that one start of a replica has said of itself, in the clock's monotonic time.
+    """The state that one incarnation of a replica has reported, in monotonic time.
 
-    ``leaving_ms`` is when it said first that it leaves, None where it has not. It wants nothing
-    before ``backoff_until_ms``. ``limit`` is what it takes from all routers together: unlike the
-    other
-    two it holds for no longer than the replica says so.
+    ``leaving_ms`` is when it first reported that it is leaving, None if it has not. It accepts no
+    requests before ``backoff_until_ms``. ``limit`` is its rate limit for all routers together;
+    unlike the other two, it holds only as long as the replica reports it.
     """
 
     leaving_ms: float | None = None
@@ -48,21 +47,21 @@
 
     @property
     def is_leaving(self) -> bool:
-        """Whether it leaves: only another start takes that back."""
+        """Whether the replica is leaving, which holds until it restarts."""
         return self.leaving_ms is not None
 
     def with_notice(self, notice: ReplicaNotice, asked_ms: float, now_ms: float) -> "ReportedState":
-        """Return the statement with an answer to a request that was sent at ``asked_ms``.
+        """Return the state updated with a response to a request sent at ``asked_ms``.
 
-        It never takes back that the replica leaves, nor a rest.
+        A notice never revokes that the replica is leaving and never shortens a backoff.
         """
         leaving_ms = self.leaving_ms
         if notice.leaving and leaving_ms is None:
             leaving_ms = now_ms
         backoff_until_ms = self.backoff_until_ms
         if notice.backoff_ms > 0:
-            rest_ms = min(notice.backoff_ms, MAX_BACKOFF_MS)
-            backoff_until_ms = max(backoff_until_ms, now_ms + rest_ms)
+            backoff_ms = min(notice.backoff_ms, MAX_BACKOFF_MS)
+            backoff_until_ms = max(backoff_until_ms, now_ms + backoff_ms)
         limit = self.limit
         if not notice.unreadable:
             limit = limit.with_answer(notice.limit, asked_ms, now_ms)
--- a/src/aspengate/replicas/_segments.py
+++ b/src/aspengate/replicas/_segments.py
@@ -1,42 +1,42 @@
-"""Which replicas probably hold which shared parts of prompts."""
+"""Tracks which replicas probably hold which shared prompt segments in their caches."""
 
 import threading
 from collections import OrderedDict
 
-_MOST_PARTS = 4_096
-_REPLICAS_A_PART = 6
+_MAX_SEGMENTS = 4_096
+_MAX_REPLICAS_PER_SEGMENT = 6
 
 
 class SegmentTracker:
-    """Remembers to which replicas this router sent each part lately.
+    """Tracks to which replicas each prompt segment was sent recently.
 
-    It holds at most ``capacity`` parts; the least recently used is forgotten first.
+    Holds at most ``capacity`` segments and evicts the least recently used one.
     """
 
-    def __init__(self, capacity: int = _MOST_PARTS) -> None:
+    def __init__(self, capacity: int = _MAX_SEGMENTS) -> None:
         self.capacity = capacity
         self._holders: OrderedDict[str, dict[str, float]] = OrderedDict()
         self._lock = threading.Lock()
 
-    def record_sent(self, part: str, replica: str, now_ms: float) -> None:
-        """Remember that a replica was sent a prompt with ``part``."""
+    def record_sent(self, segment: str, replica: str, now_ms: float) -> None:
+        """Record that a prompt with ``segment`` was sent to a replica."""
         with self._lock:
-            holders = self._holders.pop(part, {})
+            holders = self._holders.pop(segment, {})
             holders.pop(replica, None)
             holders[replica] = now_ms
-            while len(holders) > _REPLICAS_A_PART:
+            while len(holders) > _MAX_REPLICAS_PER_SEGMENT:
                 holders.pop(next(iter(holders)))
-            self._holders[part] = holders
+            self._holders[segment] = holders
             while len(self._holders) > self.capacity:
                 self._holders.popitem(last=False)
 
-    def holders(self, part: str) -> dict[str, float]:
-        """Return the replicas that were sent ``part``, with the time of the last one."""
+    def holders(self, segment: str) -> dict[str, float]:
+        """Return the replicas to which ``segment`` was sent, with the latest time for each."""
         with self._lock:
-            return dict(self._holders.get(part, {}))
+            return dict(self._holders.get(segment, {}))
 
     def forget(self, replica: str) -> None:
-        """Forget a replica that is gone, with all that it held."""
+        """Remove a replica that is gone from all segments."""
         with self._lock:
             for holders in self._holders.values():
                 holders.pop(replica, None)
--- a/src/aspengate/replicas/_view.py
+++ b/src/aspengate/replicas/_view.py
@@ -1,4 +1,4 @@
-"""A replica and what one router knows of it from its own requests."""
+"""A router's view of one incarnation of a replica, from its own requests and peers' messages."""
 
 import heapq
 import itertools
@@ -9,48 +9,49 @@
 from aspengate.replicas._replica import Replica
 from aspengate.replicas._reported_state import ReportedState
 
-# A third failure in a row brings the rate to about 0.7; fading keeps a replica that was mended out
-# for some seconds only. Choices.
+# Three failures in a row raise the rate to about 0.7. Its decay keeps a replica that has recovered
+# out of use for a few seconds only.
 _FAILURE_WEIGHT = 0.35
 _FAILURE_HALF_LIFE_MS = 4_000.0
-# A single first token is a noisy sample of how slow a replica is; 0.15 averages about six.
+# A single first token is a noisy sample of slowness; this weight averages over about six of them.
 _SLOWNESS_WEIGHT = 0.15
-# One first token outside of these bounds, as parts of the usual, tells of something else. A choice.
-_LEAST_SLOWNESS = 0.3
-_MOST_SLOWNESS = 8.0
-# What a whole answer of a plain service takes before one was seen, in ms; a guess, soon replaced.
-_USUAL_ANSWER_MS = 50.0
-_ANSWER_WEIGHT = 0.2
-# A replica that says nothing for so long, in ms, while a request waits there is avoided. A choice.
-_SILENT_MS = 1_000.0
+# Ratios of observed to expected time outside of these bounds have other causes than slowness.
+_MIN_SLOWNESS = 0.3
+_MAX_SLOWNESS = 8.0
+# The assumed response time of a plain service before the first observation.
+_INITIAL_RESPONSE_MS = 50.0
+_RESPONSE_WEIGHT = 0.2
+# A replica that sends nothing for this long while a request waits there is avoided.
+_UNRESPONSIVE_MS = 1_000.0
 _INTERVAL_WEIGHT = 0.2
-# The first of four parts of the sorted gaps: with a prompt read in half of the steps the middle
-# one would be a pause already. A choice.
-_INTERVAL_RANK = 4
-# Events that come in one packet lie closer than this; they tell nothing of the engine's step.
-_TOGETHER_MS = 1.0
-# Of fewer events no usual gap can be told; more gaps than this of one stream tell nothing new.
-_LEAST_EVENTS = 8
-_MOST_GAPS = 64
-# The late part remembers about ten streams, and half of it for 15 s without any, after which the
-# replica is tried again. Choices.
+# The interval is the first quartile of the sorted gaps: if prompts are read during half of the
+# decoding steps, the median would already be a pause.
+_INTERVAL_QUANTILE_DIVISOR = 4
+# Shorter gaps are between events of one packet and do not reflect the engine's decoding steps.
+_MIN_GAP_MS = 1.0
+# Fewer gaps are too few for an estimate; more gaps of one stream do not improve it.
+_MIN_GAPS = 8
+_MAX_GAPS = 64
+# The fraction of late streams averages over about ten streams. It halves every 15 s without any, so
+# that the replica is tried again.
 _LATE_WEIGHT = 0.1
 _LATE_HALF_LIFE_MS = 15_000.0
 
-# Of other routers' requests at one replica so many are kept; more would not be read in time.
-_MOST_OTHERS = 256
-# Marks the number of a start in its name, which no id or time holds.
-_START_MARK = "#"
+# Limit on the tracked requests of other routers at one replica: the replica would not read more
+# prompts in time.
+_MAX_REMOTE_REQUESTS = 256
+# Separates the number of a start in an incarnation's name; no id or time contains it.
+_INCARNATION_MARK = "#"
 
 _numbers = itertools.count()
 
 
 @dataclass
 class InFlightRequest:
-    """One request at a replica; ``tokens`` of its prompt are probably to be read.
+    """Tracks one request at a replica, of whose prompt ``tokens`` probably have to be read.
 
-    ``gap_aim_ms`` is the longest pause between its events that is in time, 0 where it has none;
-    ``longest_gap_ms`` is the longest so far. Times are in monotonic milliseconds.
+    ``gap_aim_ms`` is the longest allowed pause between its events, 0 if there is none, and
+    ``longest_gap_ms`` the longest so far. Times are in monotonic milliseconds.
     """
 
     started_ms: float
@@ -64,195 +65,216 @@
 
     @property
     def is_in_time(self) -> bool:
-        """Whether it is a stream that has begun, and made no pause beyond its aim yet."""
+        """Whether it is a stream that has begun and has not exceeded its allowed pause."""
         return self.last_event_ms > 0 and self.longest_gap_ms <= self.gap_aim_ms
 
 
 class ReplicaView:
-    """One start of a replica with a router's own experience.
-
-    ``starts`` is how many earlier ones were seen that did not tell their time.
-    ``failure_rate`` is the recent part of requests that failed there, fading with time.
-    ``slowness`` is how long first tokens take there against what is usual, which also tells of
-    other routers' load. ``interval_ms`` is the usual time between two events of a stream, 0 where
-    it is not known. ``answer_ms`` is how long whole answers usually take. Until
-    ``replaced_until_ms``, in monotonic time, it gets no request: another replica answers there.
-    By its own word it is cold until ``cold_until_ms``; it may be cold from ``returned_ms`` on, when
-    its failure domain's evacuation ended. ``said`` is what it has said of itself in answers, and
-    ``told_unreadable`` whether a line tells of something there that can't be read.
+    """Holds what a router knows about one incarnation of a replica.
+
+    ``previous_starts`` counts the earlier incarnations, for a replica whose record has no start
+    time. ``slowness`` is the usual ratio of observed to expected time to first token, which also
+    reflects the load by other routers. ``interval_ms`` is the usual time between two events of a
+    stream, 0 if unknown, and ``response_ms`` the usual time of a complete plain response.
+
+    Until ``replaced_until_ms``, in monotonic time, the incarnation gets no requests, as another
+    replica responded at its address. By its record it is cold until ``cold_until_ms``; it may also
+    be cold from ``evacuation_ended_ms`` on, when the evacuation of its failure domain ended.
+    ``reported`` is the state from its responses, and ``unreadable_logged`` is whether an unreadable
+    limit has been logged.
     """
 
-    def __init__(self, replica: Replica, starts: int = 0) -> None:
+    def __init__(self, replica: Replica, previous_starts: int = 0) -> None:
         self.replica = replica
-        self.starts = starts
+        self.previous_starts = previous_starts
         self.slowness = 1.0
         self.interval_ms = 0.0
-        self.answer_ms = _USUAL_ANSWER_MS
+        self.response_ms = _INITIAL_RESPONSE_MS
         self.last_activity_ms = float("-inf")
         self.avoid_until_ms = float("-inf")
         self.replaced_until_ms = float("-inf")
         self.cold_until_ms = float("-inf")
-        self.returned_ms = float("-inf")
+        self.evacuation_ended_ms = float("-inf")
         self.reported = ReportedState()
-        self.told_unreadable = False
+        self.unreadable_logged = False
         self._failure_rate = 0.0
         self._failed_ms = 0.0
-        self._late_part = 0.0
+        self._late_fraction = 0.0
         self._late_ms = 0.0
-        self._works: dict[int, InFlightRequest] = {}
-        self._others: list[tuple[float, float]] = []
-        self._gaps: deque[tuple[float, float]] = deque(maxlen=_MOST_GAPS)
+        self._in_flight: dict[int, InFlightRequest] = {}
+        self._remote_requests: list[tuple[float, float]] = []
+        self._gaps: deque[tuple[float, float]] = deque(maxlen=_MAX_GAPS)
         self._lock = threading.Lock()
 
     @property
     def identity(self) -> str:
-        """The replica's own id."""
+        """The replica's id, which stays the same when it restarts."""
         return self.replica.identity
 
     @property
     def incarnation(self) -> str:
-        """The name of its present start, which no other one has at this router."""
-        mark = f"{_START_MARK}{self.starts}" if self.starts else ""
+        """The name of this incarnation, unique at this router."""
+        mark = f"{_INCARNATION_MARK}{self.previous_starts}" if self.previous_starts else ""
         return f"{self.replica.incarnation}{mark}"
 
     @property
     def in_flight(self) -> int:
-        """How many of this router's requests are there."""
-        return len(self._works)
+        """The number of this router's requests in flight there."""
+        return len(self._in_flight)
 
     def is_cold(self, now_ms: float, cold_start_ms: float) -> bool:
-        """Return whether it may be cold; ``cold_start_ms`` is how long its service's stay so."""
-        return now_ms < max(self.cold_until_ms, self.returned_ms + cold_start_ms)
+        """Return whether it may be cold.
+
+        ``cold_start_ms`` is how long replicas of its service stay cold after a start.
+        """
+        return now_ms < max(self.cold_until_ms, self.evacuation_ended_ms + cold_start_ms)
 
     @property
     def backlog_tokens(self) -> float:
-        """The prompt tokens of this router's requests that wait there to be read."""
+        """The prompt tokens of this router's requests that have no response yet."""
         with self._lock:
-            return sum(work.tokens for work in self._works.values() if not work.has_response)
+            return sum(
+                request.tokens for request in self._in_flight.values() if not request.has_response
+            )
 
     @property
     def was_replaced(self) -> bool:
-        """Whether it was ever left out since another replica answered at its address."""
+        """Whether it was ever excluded because another replica responded at its address."""
         return self.replaced_until_ms > float("-inf")
 
-    def others_tokens(self, now_ms: float) -> float:
-        """Return the prompt tokens of other routers' requests that probably wait there."""
+    def remote_backlog_tokens(self, now_ms: float) -> float:
+        """Return the prompt tokens of other routers' requests that probably wait there.
+
+        Requests whose first token is due by ``now_ms`` are dropped.
+        """
         with self._lock:
-            while self._others and self._others[0][0] <= now_ms:
-                heapq.heappop(self._others)
-            return sum(tokens for _, tokens in self._others)
+            while self._remote_requests and self._remote_requests[0][0] <= now_ms:
+                heapq.heappop(self._remote_requests)
+            return sum(tokens for _, tokens in self._remote_requests)
 
-    def waiting(self, now_ms: float) -> int:
-        """Return how many requests probably wait there for their first token, of all routers."""
-        self.others_tokens(now_ms)
+    def waiting_requests(self, now_ms: float) -> int:
+        """Return how many requests of all routers probably wait there for their first token."""
+        self.remote_backlog_tokens(now_ms)
         with self._lock:
-            return len(self._others) + sum(not work.has_response for work in self._works.values())
+            return len(self._remote_requests) + sum(
+                not request.has_response for request in self._in_flight.values()
+            )
 
     def record_remote_request(self, tokens: float, expected_ms: float, now_ms: float) -> None:
-        """Note a request of another router, whose first token is expected after ``expected_ms``.
+        """Record a request of another router, whose first token is expected after ``expected_ms``.
 
-        It is taken to be read by then: nobody tells of its first token.
+        Its prompt is assumed to have been read by then, as no message reports its first token.
         """
         with self._lock:
-            if len(self._others) < _MOST_OTHERS:
-                heapq.heappush(self._others, (now_ms + expected_ms, tokens))
+            if len(self._remote_requests) < _MAX_REMOTE_REQUESTS:
+                heapq.heappush(self._remote_requests, (now_ms + expected_ms, tokens))
 
     def streams_in_time(self) -> list[InFlightRequest]:
-        """Return this router's streams there that made no pause beyond their aim yet."""
+        """Return this router's streams there that have not exceeded their allowed pause."""
         with self._lock:
-            return [work for work in self._works.values() if work.is_in_time]
+            return [request for request in self._in_flight.values() if request.is_in_time]
 
     def failure_rate(self, now_ms: float) -> float:
-        """Return the recent part of requests that failed, 0 to 1."""
+        """Return the recent fraction of requests that failed, 0 to 1."""
         age = max(0.0, now_ms - self._failed_ms)
         return float(self._failure_rate * 0.5 ** (age / _FAILURE_HALF_LIFE_MS))
 
-    def late_part(self, now_ms: float) -> float:
-        """Return the recent part of streams that made too long a pause, 0 to 1."""
+    def late_fraction(self, now_ms: float) -> float:
+        """Return the recent fraction of streams that exceeded their allowed pause, 0 to 1."""
         age = max(0.0, now_ms - self._late_ms)
-        return float(self._late_part * 0.5 ** (age / _LATE_HALF_LIFE_MS))
+        return float(self._late_fraction * 0.5 ** (age / _LATE_HALF_LIFE_MS))
 
-    def is_silent(self, now_ms: float) -> bool:
-        """Return whether nothing came for long though some request waits for its beginning."""
+    def is_unresponsive(self, now_ms: float) -> bool:
+        """Return whether a request waits for a response and nothing was received for long."""
         with self._lock:
-            waiting = [work.started_ms for work in self._works.values() if not work.has_response]
+            waiting = [
+                request.started_ms
+                for request in self._in_flight.values()
+                if not request.has_response
+            ]
         if not waiting:
             return False
-        return now_ms - max(self.last_activity_ms, min(waiting)) > _SILENT_MS
+        return now_ms - max(self.last_activity_ms, min(waiting)) > _UNRESPONSIVE_MS
 
     def begin(self, now_ms: float, tokens: float, gap_aim_ms: float = 0.0) -> InFlightRequest:
-        """Count a request in."""
-        work = InFlightRequest(now_ms, tokens, gap_aim_ms)
+        """Add a request in flight."""
+        request = InFlightRequest(now_ms, tokens, gap_aim_ms)
         with self._lock:
-            self._works[work.number] = work
-        return work
+            self._in_flight[request.number] = request
+        return request
 
     def record_first_response(
-        self, work: InFlightRequest, expected_ms: float, now_ms: float
+        self, request: InFlightRequest, expected_ms: float, now_ms: float
     ) -> None:
-        """Note that a request's answer has begun, which usually takes ``expected_ms``."""
-        if work.has_response:
+        """Record that a response has begun, which was expected after ``expected_ms``.
+
+        Calls after the first one for a request have no effect.
+        """
+        if request.has_response:
             return
         with self._lock:
-            work.has_response = True
+            request.has_response = True
         self.last_activity_ms = now_ms
-        observed = (now_ms - work.started_ms) / max(1.0, expected_ms)
-        bounded = min(_MOST_SLOWNESS, max(_LEAST_SLOWNESS, observed))
+        observed = (now_ms - request.started_ms) / max(1.0, expected_ms)
+        bounded = min(_MAX_SLOWNESS, max(_MIN_SLOWNESS, observed))
         self.slowness += _SLOWNESS_WEIGHT * (bounded - self.slowness)
 
-    def record_event(self, work: InFlightRequest, now_ms: float) -> None:
-        """Note that an event of a stream has come."""
+    def record_event(self, request: InFlightRequest, now_ms: float) -> None:
+        """Record an event of a stream."""
         self.last_activity_ms = now_ms
-        if work.last_event_ms:
-            gap_ms = now_ms - work.last_event_ms
-            work.longest_gap_ms = max(work.longest_gap_ms, gap_ms)
-            if gap_ms > _TOGETHER_MS and len(work.gaps) < _MOST_GAPS:
-                work.gaps.append(gap_ms)
+        if request.last_event_ms:
+            gap_ms = now_ms - request.last_event_ms
+            request.longest_gap_ms = max(request.longest_gap_ms, gap_ms)
+            if gap_ms > _MIN_GAP_MS and len(request.gaps) < _MAX_GAPS:
+                request.gaps.append(gap_ms)
             if gap_ms > 2 * self.interval_ms:
                 self._gaps.append((now_ms, gap_ms))
-        work.last_event_ms = now_ms
+        request.last_event_ms = now_ms
 
     def longest_pause_since(self, since_ms: float, now_ms: float, own: InFlightRequest) -> float:
-        """Return the longest pause of other streams that ended after a time or goes on, in ms."""
+        """Return the longest pause, in ms, of other streams that ended since a time or goes on."""
         with self._lock:
-            others = [work for work in self._works.values() if work is not own]
+            others = [request for request in self._in_flight.values() if request is not own]
             ended = [gap_ms for at_ms, gap_ms in self._gaps if at_ms >= since_ms]
-        going_on = [now_ms - work.last_event_ms for work in others if work.last_event_ms]
+        going_on = [now_ms - request.last_event_ms for request in others if request.last_event_ms]
         return max((*ended, *going_on), default=0.0)
 
     def record_activity(self, now_ms: float) -> None:
-        """Note that something came from the replica."""
+        """Record that data was received from the replica."""
         self.last_activity_ms = now_ms
 
-    def end(self, work: InFlightRequest, now_ms: float) -> None:
-        """Count a request out, and learn from its stream."""
+    def end(self, request: InFlightRequest, now_ms: float) -> None:
+        """Remove a request in flight, and update the estimates from its stream."""
         with self._lock:
-            self._works.pop(work.number, None)
-            if len(work.gaps) >= _LEAST_EVENTS:
-                usual_ms = sorted(work.gaps)[len(work.gaps) // _INTERVAL_RANK]
+            self._in_flight.pop(request.number, None)
+            if len(request.gaps) >= _MIN_GAPS:
+                usual_ms = sorted(request.gaps)[len(request.gaps) // _INTERVAL_QUANTILE_DIVISOR]
                 before_ms = self.interval_ms or usual_ms
                 self.interval_ms = before_ms + _INTERVAL_WEIGHT * (usual_ms - before_ms)
-            if work.last_event_ms and work.gap_aim_ms:
-                is_late = work.longest_gap_ms > work.gap_aim_ms
-                part = self.late_part(now_ms)
-                self._late_part = part + _LATE_WEIGHT * (is_late - part)
+            if request.last_event_ms and request.gap_aim_ms:
+                is_late = request.longest_gap_ms > request.gap_aim_ms
+                fraction = self.late_fraction(now_ms)
+                self._late_fraction = fraction + _LATE_WEIGHT * (is_late - fraction)
                 self._late_ms = now_ms
 
-    def record_success(self, now_ms: float, answer_ms: float | None = None) -> None:
-        """Note a whole answer; ``answer_ms`` is how long it took, where that tells anything."""
-        self._note(0.0, now_ms)
-        if answer_ms is not None:
-            self.answer_ms += _ANSWER_WEIGHT * (answer_ms - self.answer_ms)
+    def record_success(self, now_ms: float, response_ms: float | None = None) -> None:
+        """Record a complete response.
+
+        ``response_ms`` is how long it took, None if that is no sample of plain responses.
+        """
+        self._record_outcome(0.0, now_ms)
+        if response_ms is not None:
+            self.response_ms += _RESPONSE_WEIGHT * (response_ms - self.response_ms)
 
     def record_failure(self, now_ms: float) -> None:
-        """Note a request that the replica failed."""
-        self._note(1.0, now_ms)
+        """Record a request that failed at the replica."""
+        self._record_outcome(1.0, now_ms)
 
     def record_unreachable(self, now_ms: float, pause_ms: float) -> None:
-        """Note that no connection came up; the replica is avoided for a while."""
+        """Record a failed connection, and avoid the replica for ``pause_ms``."""
         self.avoid_until_ms = now_ms + pause_ms
 
-    def _note(self, failure: float, now_ms: float) -> None:
+    def _record_outcome(self, failure: float, now_ms: float) -> None:
         with self._lock:
             rate = self.failure_rate(now_ms)
             self._failure_rate = rate + _FAILURE_WEIGHT * (failure - rate)
