--- a/features/steps/crash_records_steps.py
+++ b/features/steps/crash_records_steps.py
@@ -83,7 +83,7 @@
             self.way,
             self.storm.clock,
             NullCounters(),
-            tell=lambda notice: self.storm.tell(self, notice),
+            broadcast=lambda notice: self.storm.tell(self, notice),
             on_ended=lambda run: None,
             reaches_store=lambda: not self.way.cut,
             is_first=lambda content: self is self.storm.routers[0],
@@ -96,7 +96,7 @@
 
     def look(self):
         if not self.way.cut:
-            self.guard.take_records(self.storm.records.state())
+            self.guard.load_records(self.storm.records.state())
 
 
 class Storm:
@@ -147,7 +147,7 @@
             self.sends.append(now)
         if held is not None:
             held.sent = True
-        run = router.guard.run_of(f"i-{self.numbers}")
+        run = router.guard.current_run(f"i-{self.numbers}")
         due = now + self.source.choice([20, 20, 100, 400])
         self.under_way.append((due, router, router.runs, run, held))
 
@@ -168,9 +168,9 @@
         self.unseen += router.way.cut
         if self.source.random() < self.herd:
             self.herd_at.append(self.clock.monotonic_ms() + self.source.uniform(1, 50))
-        router.guard.note_lost(CONTENT, run, run, held)
+        router.guard.record_lost(CONTENT, run, run, held)
         if held is not None:
-            router.guard.end_try(held, answered=False)
+            router.guard.end_trial(held, answered=False)
         # Its router may end before it writes what is to be written.
         if self.source.random() < 0.2:
             self.die(router)
@@ -191,11 +191,11 @@
 
     def hear_again(self, router):
         """Have a router and the others hear each other, after a cut."""
-        if notice := router.guard.retold():
+        if notice := router.guard.recent_crashes():
             self.tell(router, notice)
         now = self.clock.monotonic_ms()
         for each in self.routers:
-            if each is not router and not each.way.cut and (notice := each.guard.retold()):
+            if each is not router and not each.way.cut and (notice := each.guard.recent_crashes()):
                 self.messages.append((now + 10, router, router.runs, notice))
 
     def suspend(self):
@@ -235,11 +235,11 @@
                 self.messages.remove(event)
                 _, router, runs, notice = event
                 if router.runs == runs and not router.way.cut:
-                    router.guard.take_notice(notice)
+                    router.guard.handle_notice(notice)
         self.clock.advance(last - self.clock.monotonic_ms())
         for router in self.routers:
             if not router.way.cut:
-                router.guard.records.make_changes()
+                router.guard.records.apply_pending_changes()
 
 
 @given("{routers:d} routers that share the records of a store")
@@ -271,7 +271,7 @@
     for number in range(ends):
         run = f"i-{number}"
         storm.ended.add(run)
-        storm.routers[0].guard.note_lost(CONTENT, run, run, None)
+        storm.routers[0].guard.record_lost(CONTENT, run, run, None)
     storm.advance(100)
     for router in storm.routers:
         router.look()
@@ -298,8 +298,8 @@
 def answer(storm, held, trier):
     """Have a try be answered in whole."""
     held.sent = True
-    trier.guard.note_answered(CONTENT)
-    trier.guard.end_try(held, answered=True)
+    trier.guard.record_answered(CONTENT)
+    trier.guard.end_trial(held, answered=True)
     storm.advance(100)
 
 
@@ -322,7 +322,7 @@
     for number in range(count):
         run = f"other-{number}"
         storm.ended.add(run)
-        router.guard.note_lost("another request", run, run, None)
+        router.guard.record_lost("another request", run, run, None)
 
 
 def try_again(storm, *, ends, beside=lambda: None):
@@ -335,8 +335,8 @@
         storm.numbers += 1
         run = f"tried-{storm.numbers}"
         storm.ended.add(run)
-        storm.trier.guard.note_lost(CONTENT, run, run, storm.held)
-    storm.trier.guard.end_try(storm.held, answered=False)
+        storm.trier.guard.record_lost(CONTENT, run, run, storm.held)
+    storm.trier.guard.end_trial(storm.held, answered=False)
     beside()
     storm.advance(100)
 
--- a/features/steps/crashes_steps.py
+++ b/features/steps/crashes_steps.py
@@ -10,7 +10,7 @@
 from platform_standins import Caller
 from platform_standins.fleet import eventually
 
-from aspengate.crashes import content_id
+from aspengate.crashes import request_fingerprint
 from aspengate.explanation import read_lines, tell_story
 from aspengate.losses import cause_of
 from gateway_world import TOKENS, start
@@ -76,7 +76,9 @@
 def one_line(context):
     ended = [replica for replica in context.fleet.of("portal") if replica.gone]
     found = eventually(lambda: context.router.find_all("replica.ended"))
-    contents = [content_id("board", f"/receipt/{name}", b"") for name in ("ending", "lost")]
+    contents = [
+        request_fingerprint("board", f"/receipt/{name}", b"") for name in ("ending", "lost")
+    ]
     told = [(line["replica"], line["content"]) for line in found]
     assert told == [(ended[0].identity, contents[0])], told
     ends = eventually(lambda: len(context.router.find_all("request.ended")) == 2)
@@ -118,7 +120,7 @@
 def same_id(context):
     @given_any(context.requests, context.requests)
     def check(one, other):
-        same = content_id(*one) == content_id(*other)
+        same = request_fingerprint(*one) == request_fingerprint(*other)
         assert same == (one == other)
 
     check()
--- a/features/steps/framing_steps.py
+++ b/features/steps/framing_steps.py
@@ -339,7 +339,7 @@
         for piece in pieces(b"".join(events) + rest, cuts):
             found += splitter.feed(piece)
         assert b"".join(each.data for each in found) == b"".join(events)
-        assert splitter.rest == rest
+        assert splitter.remainder == rest
         assert len(found) == len(events)
         for each, sent in zip(found, events, strict=True):
             assert each.identity == sent.split(b"id: ")[1].split()[0].decode()
--- a/features/steps/limited_choice_steps.py
+++ b/features/steps/limited_choice_steps.py
@@ -11,7 +11,7 @@
 from aspengate.experiments._overload import LoadPattern, _Play
 from aspengate.fleet_permits import Permit
 from aspengate.gateway._limited_choice import LimitedChoice
-from aspengate.gateway._permit_asker import GrantedPermit
+from aspengate.gateway._permit_client import GrantedPermit
 from aspengate.gateway._replica_bounds import ReplicaBounds
 from aspengate.replica_limits import PermitHolders
 from aspengate.replicas import LimitStatement, SelfStatement
@@ -46,7 +46,7 @@
         self.holders = PermitHolders(play.bounds[own].shares, play.clock)
         self.asked = 0
 
-    def ask(self, router, wanted, most_wait_ms):
+    def request_permit(self, router, wanted, most_wait_ms):
         self.asked += 1
         limiter = self.play.bounds[router].limiter
         key = (self.own, self.asked)
@@ -90,7 +90,7 @@
     def _bounds(self, name):
         contact, limited = (lambda: Contact.CURRENT), (lambda: True)
         bounds = ReplicaBounds(name, self.clock, ColdStartPolicy(), contact, limited)
-        bounds.note_routers(self.names, len(self.names))
+        bounds.set_routers(self.names, len(self.names))
         return bounds
 
     def _choice(self, name, by_cost):
--- a/features/steps/replica_limit_answers_steps.py
+++ b/features/steps/replica_limit_answers_steps.py
@@ -17,7 +17,7 @@
 from aspengate.explanation import read_lines, tell_story
 from aspengate.fleet_permits import FleetPermits, RouterShares, mostly_first
 from aspengate.gateway._attempt import Attempt, AttemptParts, TryAnotherError
-from aspengate.gateway._permit_asker import PermitAsker
+from aspengate.gateway._permit_client import PermitClient
 from aspengate.losses import cause_of
 from aspengate.peers import PermitReply, PermitUse
 from aspengate.replica_limits import PermitHolders, ReplicaLimiter
@@ -454,7 +454,7 @@
 def asks(context):
     looks(context)
     context.sent = []
-    context.asker = PermitAsker(
+    context.asker = PermitClient(
         lambda: "router-0.1",
         context.holders,
         context.clock,
@@ -466,10 +466,10 @@
 
 @when("the answer comes after the wait for it")
 def late_answer(context):
-    context.granted = context.asker.ask(context.first, [context.view], 0.0)
+    context.granted = context.asker.request_permit(context.first, [context.view], 0.0)
     number = context.sent[0][0].number
     late = PermitReply(number, "router-0.1", context.view.life, 0, 1_500)
-    thread = threading.Thread(target=context.asker.take_reply, args=(late, "there"))
+    thread = threading.Thread(target=context.asker.handle_reply, args=(late, "there"))
     thread.start()
     thread.join()
 
--- a/src/aspengate/crashes/__init__.py
+++ b/src/aspengate/crashes/__init__.py
@@ -5,26 +5,26 @@
 request that came twice a second (4 routers, 6 replicas).
 """
 
-from aspengate.crashes._book import SuspectBook, replica_of
-from aspengate.crashes._content import content_id
+from aspengate.crashes._fingerprint import request_fingerprint
 from aspengate.crashes._policy import CrashPolicy, Verdict
 from aspengate.crashes._record import (
     RECORD_PREFIX,
     CrashRecord,
+    decide_verdict,
     decode_record,
     encode_record,
-    judge,
 )
+from aspengate.crashes._suspects import SuspectTracker, replica_of_run
 
 __all__ = [
     "RECORD_PREFIX",
     "CrashPolicy",
     "CrashRecord",
-    "SuspectBook",
+    "SuspectTracker",
     "Verdict",
-    "content_id",
+    "decide_verdict",
     "decode_record",
     "encode_record",
-    "judge",
-    "replica_of",
+    "replica_of_run",
+    "request_fingerprint",
 ]
--- a/src/aspengate/crashes/_content.py
+++ b/src/aspengate/crashes/_fingerprint.py
@@ -5,7 +5,7 @@
 _DIGEST_BYTES = 16
 
 
-def content_id(account: str, target: str, body: bytes) -> str:
+def request_fingerprint(account: str, target: str, body: bytes) -> str:
     """Return the id of all requests of one account with the same path, query and body.
 
     A strong hash, so that no account can make a request that is taken for another's: whoever
--- a/src/aspengate/crashes/_policy.py
+++ b/src/aspengate/crashes/_policy.py
@@ -34,19 +34,19 @@
     than requests usually last.
     """
 
-    suspect_ends: int = 2
-    most_ended: int = 3
-    ended_ms: float = 60_000.0
-    growth: float = 10.0
-    mass_ends: int = 3
-    mass_ms: float = 100.0
-    few_tries: int = 3
-    pause_ms: float = 1_000.0
-    many_ms: float = 600_000.0
-    try_ms: float = 20_000.0
+    suspect_crashes: int = 2
+    max_crashed_trials: int = 3
+    crash_pause_ms: float = 60_000.0
+    crash_pause_factor: float = 10.0
+    mass_crash_replicas: int = 3
+    mass_crash_window_ms: float = 100.0
+    quick_trials: int = 3
+    short_pause_ms: float = 1_000.0
+    long_pause_ms: float = 600_000.0
+    trial_timeout_ms: float = 20_000.0
 
     def pause_after(self, tries: int, ended: int, *, has_ended: bool) -> float:
         """Return how long no router tries a request after its last try, in ms."""
         if has_ended:
-            return self.ended_ms * self.growth ** max(0, ended - 1)
-        return self.pause_ms if tries < self.few_tries else self.many_ms
+            return self.crash_pause_ms * self.crash_pause_factor ** max(0, ended - 1)
+        return self.short_pause_ms if tries < self.quick_trials else self.long_pause_ms
--- a/src/aspengate/crashes/_record.py
+++ b/src/aspengate/crashes/_record.py
@@ -27,19 +27,19 @@
     trying: str = ""
     next_try_ms: int = 0
 
-    def begin_try(
+    def begin_trial(
         self, session: str, ends: Collection[str], now_ms: int, policy: CrashPolicy
     ) -> "CrashRecord":
         """Return the record with one more try, which begins now."""
-        until_ms = now_ms + int(policy.try_ms)
+        until_ms = now_ms + int(policy.trial_timeout_ms)
         return CrashRecord(_merged(self.ends, ends), self.tries + 1, self.ended, session, until_ms)
 
-    def take_back_try(self, now_ms: int, policy: CrashPolicy) -> "CrashRecord":
+    def cancel_trial(self, now_ms: int, policy: CrashPolicy) -> "CrashRecord":
         """Return the record after a try that was not sent."""
-        until_ms = now_ms + int(policy.pause_ms)
+        until_ms = now_ms + int(policy.short_pause_ms)
         return CrashRecord(self.ends, max(0, self.tries - 1), self.ended, "", until_ms)
 
-    def end_try(
+    def end_trial(
         self, ends: Collection[str], now_ms: int, policy: CrashPolicy, *, has_ended: bool
     ) -> "CrashRecord":
         """Return the record after a try that showed nothing, or that ended its replica."""
@@ -52,7 +52,7 @@
     return tuple(sorted({*one, *other}))[:_MOST_ENDS]
 
 
-def judge(
+def decide_verdict(
     ends: Collection[str], record: CrashRecord | None, now_ms: int, policy: CrashPolicy
 ) -> Verdict:
     """Return what may be done with a request that ``ends`` and its record speak of.
@@ -60,13 +60,13 @@
     ``ends`` are what this router has seen and heard; ``now_ms`` is wall-clock time.
     """
     if record is None:
-        return Verdict.SEND if len(ends) < policy.suspect_ends else Verdict.TRY
-    if record.ended >= policy.most_ended:
+        return Verdict.SEND if len(ends) < policy.suspect_crashes else Verdict.TRY
+    if record.ended >= policy.max_crashed_trials:
         return Verdict.REFUSE
     pause_ms = record.next_try_ms - now_ms
     if pause_ms <= 0:
         return Verdict.TRY
-    return Verdict.WAIT if record.trying or pause_ms <= policy.pause_ms else Verdict.REFUSE
+    return Verdict.WAIT if record.trying or pause_ms <= policy.short_pause_ms else Verdict.REFUSE
 
 
 def encode_record(record: CrashRecord) -> bytes:
--- a/src/aspengate/crashes/_book.py
+++ b/src/aspengate/crashes/_suspects.py
@@ -18,8 +18,8 @@
 _RUN_MARK = "~"
 
 
-def replica_of(run: str) -> str:
-    """Return the replica that ``SuspectBook.run_of`` named a run of."""
+def replica_of_run(run: str) -> str:
+    """Return the replica that ``SuspectTracker.current_run`` named a run of."""
     return run.partition(_RUN_MARK)[0]
 
 
@@ -31,7 +31,7 @@
     excused: deque[str] = field(default_factory=lambda: deque(maxlen=_MOST_EXCUSED))
 
 
-class SuspectBook:
+class SuspectTracker:
     """Counts, by content, the runs of replicas that ended while the request was there.
 
     A replica's answer may break off though it lives, and that it has ended may be known later, or
@@ -48,7 +48,7 @@
         self._contents: OrderedDict[str, set[str]] = OrderedDict()
         self._lock = threading.Lock()
 
-    def run_of(self, replica: str) -> str:
+    def current_run(self, replica: str) -> str:
         """Return a name for a replica's present run.
 
         A replica that has ended and answers again is another run, also where it says the same of
@@ -61,7 +61,7 @@
                 name = f"{replica}{_RUN_MARK}{number}"
         return name
 
-    def note_lost(self, content: str, run: str) -> None:
+    def record_lost(self, content: str, run: str) -> None:
         """Note that a run of a replica lost a request, whatever the reason."""
         with self._lock:
             suspect = self._suspects.setdefault(content, _Suspect())
@@ -73,7 +73,7 @@
                 while len(kept) > self._most:
                     kept.popitem(last=False)
 
-    def note_ended(self, run: str) -> bool:
+    def record_ended(self, run: str) -> bool:
         """Note that a run of a replica has ended; return whether that was not known."""
         with self._lock:
             if run in self._ended:
@@ -83,7 +83,7 @@
                 self._ended.popitem(last=False)
             return True
 
-    def ended_with(self, run: str, within_ms: float) -> int:
+    def count_ended_near(self, run: str, within_ms: float) -> int:
         """Return how many other runs ended within so many milliseconds of the end of one."""
         with self._lock:
             ended_ms = self._ended.get(run)
@@ -92,12 +92,12 @@
             others = (at_ms for each, at_ms in self._ended.items() if each != run)
             return sum(1 for at_ms in others if abs(at_ms - ended_ms) <= within_ms)
 
-    def is_lost_at(self, run: str) -> bool:
+    def has_lost_requests(self, run: str) -> bool:
         """Return whether any request was lost at a run."""
         with self._lock:
             return run in self._contents
 
-    def ends(self, content: str) -> frozenset[str]:
+    def crashed_runs(self, content: str) -> frozenset[str]:
         """Return the runs that ended while a request was there."""
         with self._lock:
             suspect = self._suspects.get(content)
@@ -105,12 +105,12 @@
                 return frozenset()
             return frozenset(run for run in suspect.lost_at if self._is_end(suspect, run))
 
-    def contents_at(self, run: str) -> list[str]:
+    def lost_fingerprints(self, run: str) -> list[str]:
         """Return the requests that were lost at a run."""
         with self._lock:
             return sorted(self._contents.get(run, ()))
 
-    def knows(self, content: str) -> bool:
+    def is_suspect(self, content: str) -> bool:
         """Return whether anything speaks against a request."""
         with self._lock:
             suspect = self._suspects.get(content)
@@ -124,7 +124,7 @@
                 suspect.excused.extend(suspect.lost_at)
                 suspect.lost_at.clear()
 
-    def known(self, most: int) -> tuple[list[tuple[str, str]], list[str]]:
+    def recent_crashes(self, most: int) -> tuple[list[tuple[str, str]], list[str]]:
         """Return the newest requests with the ended runs that lost them, and these runs."""
         found: list[tuple[str, str]] = []
         with self._lock:
--- a/src/aspengate/gateway/_crash_records.py
+++ b/src/aspengate/gateway/_crash_records.py
@@ -29,10 +29,10 @@
 # for it: until then a try counts as under way.
 _AGAIN_MS = 500.0
 # How many records there are at most; those whose next try was due first go first.
-MOST_RECORDS = 1_000
+MAX_RECORDS = 1_000
 
 
-class Change(enum.IntEnum):
+class RecordChange(enum.IntEnum):
     """What is to become of a record; of two that wait together the higher one is made."""
 
     WRITE_AGAIN = 1
@@ -49,7 +49,7 @@
     ``ended_run`` is the run of a replica that ended under the try, if the change tells of one.
     """
 
-    change: Change
+    change: RecordChange
     due_ms: float = 0.0
     ended_run: str = ""
 
@@ -81,7 +81,7 @@
         ends_of: Callable[[str], Collection[str]],
         ended_with: Callable[[str], int],
         on_gone: Callable[[str], None],
-        writes_again: Callable[[str], bool] = lambda _: True,
+        rewrites_lost: Callable[[str], bool] = lambda _: True,
     ) -> None:
         self.session = ""
         self._store = store
@@ -91,7 +91,7 @@
         self._ends_of = ends_of
         self._ended_with = ended_with
         self._on_gone = on_gone
-        self._writes_again = writes_again
+        self._writes_again = rewrites_lost
         # The store's revision up to which its records have been read.
         self._seen = 0
         # What this router wrote, and the store lost before it was read again.
@@ -123,7 +123,7 @@
     def __len__(self) -> int:
         return len(self._known)
 
-    def take(self, state: MirrorState) -> None:
+    def load(self, state: MirrorState) -> None:
         """Take over the records that the store holds; one that can't be read holds nothing.
 
         Where the store has lost some, they hold on, and are written again.
@@ -156,9 +156,11 @@
         for content in list(self._unwritten):
             if self._writes_again(content):
                 is_removed = content in kept and kept[content] is None
-                self.ask(content, Change.REMOVE if is_removed else Change.WRITE_AGAIN)
+                self.request_change(
+                    content, RecordChange.REMOVE if is_removed else RecordChange.WRITE_AGAIN
+                )
 
-    def begin_try(self, content: str) -> bool:
+    def begin_trial(self, content: str) -> bool:
         """Record that this router tries a request; return whether no other one was first.
 
         Raises STORE_UNAVAILABLE or OUTCOME_UNKNOWN where that was not written for certain.
@@ -166,7 +168,7 @@
         now = self._clock.now_ms()
         known = self._known.get(content)
         record = (known.record if known else None) or CrashRecord()
-        begun = record.begin_try(self.session, self._ends_of(content), now, self._policy)
+        begun = record.begin_trial(self.session, self._ends_of(content), now, self._policy)
         try:
             self._write(content, begun, known.revision if known else 0)
         except ConditionFailedError as failure:
@@ -174,14 +176,14 @@
             return False
         return True
 
-    def ask(self, content: str, change: Change) -> None:
+    def request_change(self, content: str, change: RecordChange) -> None:
         """Have a record changed soon."""
         self._ask(content, _Wanted(change))
 
-    def ask_end(self, content: str, ended_run: str) -> None:
+    def request_crashed_trial(self, content: str, ended_run: str) -> None:
         """Have the end of a try recorded whose replica ended, once other ends are known as well."""
-        due_ms = self._clock.monotonic_ms() + self._policy.mass_ms
-        self._ask(content, _Wanted(Change.END_TRY_WITH_REPLICA, due_ms, ended_run))
+        due_ms = self._clock.monotonic_ms() + self._policy.mass_crash_window_ms
+        self._ask(content, _Wanted(RecordChange.END_TRY_WITH_REPLICA, due_ms, ended_run))
 
     def _ask(self, content: str, wanted: _Wanted) -> None:
         with self._lock:
@@ -193,17 +195,17 @@
         try:
             return _Known(decode_record(item.value, item.key), item.revision)
         except AspengateError as error:
-            self._unreadable.tell("crash", item, error)
+            self._unreadable.report("crash", item, error)
             return _Known(None, item.revision)
 
     def _run(self) -> None:
         while not self._closing.is_set():
             self._some.wait()
             self._some.clear()
-            while not self._closing.is_set() and not self.make_changes():
+            while not self._closing.is_set() and not self.apply_pending_changes():
                 self._closing.wait(_AGAIN_MS / 1_000)
 
-    def make_changes(self) -> bool:
+    def apply_pending_changes(self) -> bool:
         """Make the changes that are due; return whether none is left to be made later."""
         now = self._clock.monotonic_ms()
         with self._lock:
@@ -235,7 +237,7 @@
     def _make(self, content: str, wanted: _Wanted) -> bool:
         """Make a change; return False where another router changed the record first."""
         known = self._known.get(content)
-        if wanted.change is Change.REMOVE:
+        if wanted.change is RecordChange.REMOVE:
             self._store.remove(RECORD_PREFIX + content)
             with self._lock:
                 self._known.pop(content, None)
@@ -254,16 +256,16 @@
 
     def _changed(self, content: str, record: CrashRecord, wanted: _Wanted) -> CrashRecord:
         """Return what a change makes of a record; a try of another router's stays as it is."""
-        if record.trying != self.session or wanted.change is Change.WRITE_AGAIN:
+        if record.trying != self.session or wanted.change is RecordChange.WRITE_AGAIN:
             return record
         now = self._clock.now_ms()
-        if wanted.change is Change.TAKE_BACK_TRY:
-            return record.take_back_try(now, self._policy)
+        if wanted.change is RecordChange.TAKE_BACK_TRY:
+            return record.cancel_trial(now, self._policy)
         has_ended = (
-            wanted.change is Change.END_TRY_WITH_REPLICA
-            and self._ended_with(wanted.ended_run) < self._policy.mass_ends
+            wanted.change is RecordChange.END_TRY_WITH_REPLICA
+            and self._ended_with(wanted.ended_run) < self._policy.mass_crash_replicas
         )
-        return record.end_try(self._ends_of(content), now, self._policy, has_ended=has_ended)
+        return record.end_trial(self._ends_of(content), now, self._policy, has_ended=has_ended)
 
     def _write(self, content: str, record: CrashRecord, revision: int) -> None:
         key = RECORD_PREFIX + content
@@ -288,7 +290,7 @@
         return record.next_try_ms if record else 0
 
     def _drop_oldest(self) -> None:
-        if len(self._known) <= MOST_RECORDS:
+        if len(self._known) <= MAX_RECORDS:
             return
         oldest = min(self._known, key=self._due_ms)
         self._counters.count("crashes.dropped")
--- a/src/aspengate/gateway/_daemon.py
+++ b/src/aspengate/gateway/_daemon.py
@@ -7,7 +7,7 @@
 from aspengate.cold_starts import ColdStartPolicy, Contact
 from aspengate.configuration import ConfigurationHolder, FleetConfiguration
 from aspengate.connections import ConnectionPool
-from aspengate.crashes import replica_of
+from aspengate.crashes import replica_of_run
 from aspengate.gateway._application import ADMISSION, GatewayApplication
 from aspengate.gateway._attempt import AttemptParts
 from aspengate.gateway._crash_guard import CrashGuard
@@ -15,7 +15,7 @@
 from aspengate.gateway._limited_choice import LimitedChoice
 from aspengate.gateway._peer_services import GatewayPeerServices
 from aspengate.gateway._peering import Peering, Reply
-from aspengate.gateway._permit_asker import PermitAsker
+from aspengate.gateway._permit_client import PermitClient
 from aspengate.gateway._ports import Deployment
 from aspengate.gateway._ready import ReadyApplication
 from aspengate.gateway._replica_bounds import ReplicaBounds
@@ -107,18 +107,18 @@
             deployment.store,
             clock,
             counters,
-            tell=lambda notice: self.peering.crashes.tell(notice),
-            on_ended=lambda run: self.pool.forget(replica_of(run)),
+            broadcast=lambda notice: self.peering.crashes.tell(notice),
+            on_ended=lambda run: self.pool.forget(replica_of_run(run)),
             reaches_store=lambda: self.peering.reaches_store,
             is_first=lambda content: self.peering.members.is_first(content),
-            writes_again=self._writes_again,
+            rewrites_lost=self._writes_again,
         )
         self.mirrors = StoreMirrors(
             deployment,
             clock,
             counters,
             self._reader,
-            self.crashes.take_records,
+            self.crashes.load_records,
             stance=lambda: self.peering.stance(),
             leads=lambda: self.peering.members.leads,
             last_request_ms=lambda: self.application.last_request_ms,
@@ -231,7 +231,7 @@
 
     def close(self) -> None:
         """Stop at once; what is not in progress any more is settled."""
-        self.report.tell_calls()
+        self.report.log_store_calls()
         self._closing.set()
         self.server.stop()
         self.ready_server.close()
@@ -256,7 +256,7 @@
         if before is not None:
             # Their answers would be of the history before.
             self.deployment.store.end_watches()
-            self.peering.note_store_restored()
+            self.peering.handle_store_restored()
         self.tokens.restore(has_returned=before is not None)
 
     def _is_ready(self) -> bool:
@@ -270,7 +270,7 @@
         while not self._closing.wait(_TICK_S):
             self._suspension.look()
             self.tokens.tick()
-            self.report.tell()
+            self.report.log_if_due()
 
     def _make_peering(self) -> Peering:
         host = self.settings.listen.rpartition(":")[0]
@@ -320,9 +320,9 @@
         self.loans.reaches_store = self._can_draw
         self.peering.on_reply = self._on_reply
         self.tokens.restorer.others_restored = self.peering.members.have_restored
-        self.tokens.on_restored = self.peering.tell_now
+        self.tokens.on_restored = self.peering.announce_now
         self.peering.restored_era = lambda: self.tokens.restored_era
-        self.tokens.writer.tell_grant = self.peering.tell_grant
+        self.tokens.writer.tell_grant = self.peering.send_grant
         self.tokens.writer.outlook = lambda: self.peering.outages.outlook
 
     def _can_draw(self) -> bool:
@@ -392,8 +392,8 @@
             refusing=lambda: self.refusing,
         )
 
-    def _make_asker(self) -> PermitAsker:
-        asker = PermitAsker(
+    def _make_asker(self) -> PermitClient:
+        asker = PermitClient(
             lambda: self.peering.session,
             PermitHolders(self.bounds.shares, self.clock),
             self.clock,
@@ -401,7 +401,7 @@
             address_of=self.peering.members.address_of,
             send=self.peering.send,
         )
-        self.peering.on_permit = asker.take_reply
+        self.peering.on_permit = asker.handle_reply
         return asker
 
     def _contact(self) -> Contact:
@@ -421,7 +421,7 @@
     def _on_members(self, count: int) -> None:
         if self.peering.members.count_known:
             self.retries.note_routers(count)
-            self.bounds.note_routers(self.peering.members.names(), count)
+            self.bounds.set_routers(self.peering.members.names(), count)
         self.tokens.routers = count
 
     def _apply_configuration(self, configuration: FleetConfiguration) -> None:
--- a/src/aspengate/gateway/_dispatcher.py
+++ b/src/aspengate/gateway/_dispatcher.py
@@ -56,7 +56,7 @@
         finally:
             self._settle_repeats(exchange, progress)
             if progress.crash_try is not None:
-                self.crashes.end_try(progress.crash_try, answered=answered)
+                self.crashes.end_trial(progress.crash_try, answered=answered)
 
     def _admit(self, exchange: Exchange, progress: Progress) -> None:
         """Have the crash guard admit the next attempt; raises SUSPECTED or QUARANTINED.
@@ -75,7 +75,7 @@
                 self._serve(attempt, exchange, caller, progress)
                 # Counted as good, a failure at once drew 40 of 40 requests beside a sound replica.
                 attempt.end("answered", failed=progress.status in _SERVER_ERROR)
-                self.crashes.note_answered(exchange.content)
+                self.crashes.record_answered(exchange.content)
                 return
             except TryAnotherError as failure:
                 self._note_lost(attempt, failure.cause, exchange, progress)
@@ -95,11 +95,11 @@
         """Tell the crash guard where the replica may have ended."""
         if attempt.sent and isinstance(error, BrokenAnswerError):
             address = attempt.view.replica.address
-            self.crashes.note_lost(
+            self.crashes.record_lost(
                 exchange.content, attempt.replica_run, address, progress.crash_try
             )
         elif isinstance(error.__cause__, ConnectionRefusedError):
-            self.crashes.note_refused(attempt.replica_run)
+            self.crashes.record_connection_refused(attempt.replica_run)
 
     def _settle_repeats(self, exchange: Exchange, progress: Progress) -> None:
         """Tell the retry budget when the last of the request's arrivals was, or will have been."""
@@ -123,7 +123,7 @@
             return self._may_repeat(exchange, progress, attempts=attempts, to_spare=True)
 
         patience = Patience(exchange.known_route, candidate, self.parts.clock, may_repeat)
-        replica_run = self.crashes.run_of(candidate.view.life)
+        replica_run = self.crashes.current_run(candidate.view.life)
         attempt = Attempt(self.parts, exchange, candidate, patience, permit, replica_run)
         progress.made.append(attempt)
         return attempt
--- a/src/aspengate/gateway/_events.py
+++ b/src/aspengate/gateway/_events.py
@@ -11,7 +11,7 @@
     """One whole event as its bytes, with its id, empty where it has none."""
 
     data: bytes
-    identity: str
+    event_id: str
 
 
 class EventSplitter:
@@ -21,15 +21,15 @@
     """
 
     def __init__(self) -> None:
-        self.rest = b""
+        self.remainder = b""
 
     def feed(self, data: bytes) -> list[StreamEvent]:
         """Return the events that are whole with ``data``."""
-        self.rest += data
+        self.remainder += data
         events = []
-        while (end := _end_of_event(self.rest)) > 0:
-            events.append(_event(self.rest[:end]))
-            self.rest = self.rest[end:]
+        while (end := _end_of_event(self.remainder)) > 0:
+            events.append(_event(self.remainder[:end]))
+            self.remainder = self.remainder[end:]
         return events
 
 
--- a/src/aspengate/gateway/_exchange.py
+++ b/src/aspengate/gateway/_exchange.py
@@ -6,7 +6,7 @@
 
 from aspengate.configuration import ClientAccount, FleetConfiguration, Route, Service
 from aspengate.connections import Waiter
-from aspengate.crashes import content_id
+from aspengate.crashes import request_fingerprint
 from aspengate.errors import AspengateError, ErrorKind
 from aspengate.gateway._request import CallerRequest
 
@@ -44,7 +44,7 @@
     def content(self) -> str:
         """The id that this request shares with those that are the same, come again."""
         account = self.account.name if self.account else ""
-        return content_id(account, self.request.target, self.request.body)
+        return request_fingerprint(account, self.request.target, self.request.body)
 
 
 @dataclass(frozen=True)
--- a/src/aspengate/gateway/_limited_choice.py
+++ b/src/aspengate/gateway/_limited_choice.py
@@ -7,7 +7,7 @@
 from aspengate.errors import AspengateError, ErrorKind
 from aspengate.fleet_permits import Permit
 from aspengate.gateway._exchange import Exchange
-from aspengate.gateway._permit_asker import PermitAsker
+from aspengate.gateway._permit_client import PermitClient
 from aspengate.gateway._replica_bounds import ReplicaBounds
 from aspengate.replica_limits import CallerReturns
 from aspengate.replicas import Candidate, PromptShape, ReplicaChooser, ReplicaView
@@ -34,7 +34,7 @@
     def __init__(
         self,
         bounds: ReplicaBounds,
-        asker: PermitAsker,
+        asker: PermitClient,
         chooser: ReplicaChooser,
         clock: Clock,
         counters: Counters,
@@ -94,7 +94,7 @@
         self, candidate: Candidate, exchange: Exchange, wait_ms: float
     ) -> tuple[Candidate, Permit] | None:
         """Return a replica with a permit of this router's own, where there is one in time."""
-        permit = self.bounds.take(candidate.view, exchange.known_service, wait_ms)
+        permit = self.bounds.acquire(candidate.view, exchange.known_service, wait_ms)
         return None if permit is None else (candidate, permit)
 
     def _ask(
@@ -106,10 +106,12 @@
             for each in candidates
             if self.asker.holders.holder_of(each.view) == holder
         }
-        granted = self.asker.ask(holder, [each.view for each in asked.values()], wait_ms)
+        granted = self.asker.request_permit(holder, [each.view for each in asked.values()], wait_ms)
         if granted is None:
             return None
-        permit = self.bounds.join(granted.view, exchange.known_service, granted.permit)
+        permit = self.bounds.acquire_with_permit(
+            granted.view, exchange.known_service, granted.permit
+        )
         return None if permit is None else (asked[granted.view.life], permit)
 
     def _most_wait_ms(self, exchange: Exchange) -> float:
--- a/src/aspengate/gateway/_mirror_sharing.py
+++ b/src/aspengate/gateway/_mirror_sharing.py
@@ -94,18 +94,18 @@
         self._closing.set()
         self._wake.set()
 
-    def look(self) -> None:
+    def wake(self) -> None:
         """Look whether a mirror is behind, since the store does not answer this router."""
         self._wake.set()
 
-    def note_behind(self, prefix: str, revision: int, address: str) -> None:
+    def request_fetch(self, prefix: str, revision: int, address: str) -> None:
         """Fetch a state from a peer that knows a change at ``revision``, unless it comes first."""
         mirror = self.mirrors.get(prefix)
         if mirror is not None and revision > mirror.state.revision:
             self._behind[prefix] = (address, revision)
             self._wake.set()
 
-    def take(self, changes: MirrorChanges, address: str) -> None:
+    def handle_changes(self, changes: MirrorChanges, address: str) -> None:
         """Take over what a leader tells, or fetch where something before it is not known."""
         mirror = self.mirrors.get(changes.prefix)
         if mirror is None:
@@ -114,7 +114,7 @@
         if mirror.apply(changes.known_before, told):
             self._counters.count("mirror.pushed")
         else:
-            self.note_behind(changes.prefix, told.revision, address)
+            self.request_fetch(changes.prefix, told.revision, address)
 
     def _push(self, prefix: str, after: int, changes: Changes) -> None:
         """Tell the routers of this one's domain what has changed."""
--- a/src/aspengate/gateway/_peer_services.py
+++ b/src/aspengate/gateway/_peer_services.py
@@ -5,7 +5,7 @@
 
 from aspengate.clock import Clock
 from aspengate.gateway._crash_guard import CrashGuard
-from aspengate.gateway._permit_asker import word_of
+from aspengate.gateway._permit_client import limit_word_of
 from aspengate.gateway._replica_bounds import ReplicaBounds
 from aspengate.gateway.prepaid import TokenAccounts
 from aspengate.peers import (
@@ -90,11 +90,11 @@
 
     def take_crashes(self, notice: CrashNotice) -> None:
         """Note under which requests another router saw replicas end."""
-        self._crashes.take_notice(notice)
+        self._crashes.handle_notice(notice)
 
     def known_crashes(self) -> CrashNotice | None:
         """Return what a router that has just started is to know of such requests, if anything."""
-        return self._crashes.retold()
+        return self._crashes.recent_crashes()
 
     def take_limits(self, notice: LimitNotice, told_by: str) -> None:
         """Note what another router knows of the limits that replicas name."""
@@ -117,7 +117,7 @@
             if view is not None:
                 views.append(view)
                 if view.said.limit.number > word.number:
-                    newer.append(word_of(view))
+                    newer.append(limit_word_of(view))
         return self._permit_for(request, views), LimitNotice(newer) if newer else None
 
     def _permit_for(self, request: PermitRequest, views: list[ReplicaView]) -> PermitReply:
--- a/src/aspengate/gateway/_peering.py
+++ b/src/aspengate/gateway/_peering.py
@@ -202,11 +202,11 @@
         """Send a message to another router; it may get lost."""
         self._datagrams.send(datagram, address)
 
-    def tell_now(self) -> None:
+    def announce_now(self) -> None:
         """Tell the others of this router at once."""
         self._beat.set()
 
-    def tell_grant(self, grant: Grant) -> None:
+    def send_grant(self, grant: Grant) -> None:
         """Have some others remember what the store has granted this router."""
         keepers = [member.address for member in self.members.keepers(grant.account)]
         self._datagrams.send(GrantNotice([grant]), *keepers)
@@ -224,7 +224,7 @@
             log_change("witness.not_asked", witness=witness, session=session, error=str(error))
             return None
 
-    def note_store_restored(self) -> None:
+    def handle_store_restored(self) -> None:
         """Be listed and read the list anew, since the store may have lost the entries."""
         delay_ms = random.uniform(0.0, self.members.count * _RELIST_MS)
         self._relist_ms = self._clock.monotonic_ms() + delay_ms
@@ -240,7 +240,7 @@
             self._tell()
             self.outages.note(answered=self._fleet_reaches_store())
             if not self.reaches_store:
-                self.sharing.look()
+                self.sharing.wake()
             self._on_count(self.members.count)
             self._beat.wait(_NEWS_MS / 1_000)
             self._beat.clear()
@@ -337,7 +337,7 @@
         return {
             PeerNews: lambda news, _: self._on_news(news),
             Placements: lambda placements, _: self.placements.take(placements),
-            MirrorChanges: self.sharing.take,
+            MirrorChanges: self.sharing.handle_changes,
             CrashNotice: lambda notice, _: services.take_crashes(notice),
             LimitNotice: services.take_limits,
             PermitRequest: self._take_permit_request,
@@ -402,7 +402,7 @@
         if era:
             self._store.era.note(era)
         for prefix, revision in news.newest.items():
-            self.sharing.note_behind(prefix, revision, news.member.address)
+            self.sharing.request_fetch(prefix, revision, news.member.address)
         for life in news.replaced:
             self.registry.note_replaced(life, news.member.name)
 
--- a/src/aspengate/gateway/_permit_asker.py
+++ b/src/aspengate/gateway/_permit_client.py
@@ -35,7 +35,7 @@
     permit: Permit
 
 
-class PermitAsker:
+class PermitClient:
     """Gets permits from the routers that hold them.
 
     ``address_of`` returns where a router is reached by its name, empty where that is not known;
@@ -62,7 +62,7 @@
         self._questions: dict[int, _Question] = {}
         self._lock = threading.Lock()
 
-    def take_reply(self, reply: PermitReply, address: str) -> None:
+    def handle_reply(self, reply: PermitReply, address: str) -> None:
         """Take another router's answer; a permit that nobody waits for goes back."""
         with self._lock:
             question = self._questions.get(reply.number)
@@ -73,7 +73,7 @@
             self._counters.count("permits.too_late")
             self._send(PermitUse(reply.number, self._session(), sent=False), address)
 
-    def ask(
+    def request_permit(
         self, router: str, wanted: Sequence[ReplicaView], most_wait_ms: float
     ) -> GrantedPermit | None:
         """Ask a router for a permit for one of the limited replicas ``wanted``; None for none.
@@ -90,7 +90,7 @@
         with self._lock:
             self._questions[number] = question
         views = {view.life: view for view in wanted[:_MOST_WORDS]}
-        words = [word_of(view) for view in views.values()]
+        words = [limit_word_of(view) for view in views.values()]
         self._counters.count("permits.asked")
         self._send(PermitRequest(number, self._session(), words, int(most_wait_ms)), address)
         question.answered.wait(_ANSWER_MS / 1_000)
@@ -131,7 +131,7 @@
         return GrantedPermit(view, Permit(settle, ready_ms=ready_ms, until_ms=until_ms))
 
 
-def word_of(view: ReplicaView) -> LimitWord:
+def limit_word_of(view: ReplicaView) -> LimitWord:
     """Return what this router knows of a replica's limit."""
     limit = view.said.limit
     return LimitWord(view.life, limit.number, limit.per_second)
--- a/src/aspengate/gateway/_progress.py
+++ b/src/aspengate/gateway/_progress.py
@@ -9,7 +9,7 @@
 
 if TYPE_CHECKING:
     from aspengate.gateway._attempt import Attempt
-    from aspengate.gateway._crash_guard import CrashTry
+    from aspengate.gateway._crash_guard import CrashTrial
 
 
 @dataclass
@@ -33,7 +33,7 @@
     excluded: set[str] = field(default_factory=set)
     made: "list[Attempt]" = field(default_factory=list)
     repeats: list[RetryDecision] = field(default_factory=list)
-    crash_try: "CrashTry | None" = None
+    crash_try: "CrashTrial | None" = None
     status: int = 0
     last_event_id: str = ""
     events: int = 0
--- a/src/aspengate/gateway/_relay.py
+++ b/src/aspengate/gateway/_relay.py
@@ -59,7 +59,7 @@
                 attempt.note_sign()
                 for event in splitter.feed(data):
                     self._pass_on(event, attempt, answer, caller, progress)
-            if splitter.rest:
+            if splitter.remainder:
                 raise BrokenAnswerError("ends within an event", answer.connection.address)
             if not answer.framed:
                 raise BrokenAnswerError("a stream without framing", answer.connection.address)
@@ -97,7 +97,7 @@
         caller.write(event.data, attempt.exchange.waiter)
         now_ms = attempt.parts.clock.monotonic_ms()
         attempt.note_event(now_ms)
-        progress.note_event(event.identity, now_ms)
+        progress.note_event(event.event_id, now_ms)
 
     def _begin(self, answer: ReplicaAnswer, caller: CallerConnection) -> None:
         """Send the head, once; a resumed stream keeps that of its first replica."""
@@ -116,6 +116,6 @@
 
 def _is_repeated(event: StreamEvent, progress: Progress) -> bool:
     """Return whether the caller has an event already; ids rise where they are numbers."""
-    if not (event.identity.isdigit() and progress.last_event_id.isdigit()):
+    if not (event.event_id.isdigit() and progress.last_event_id.isdigit()):
         return False
-    return int(event.identity) <= int(progress.last_event_id)
+    return int(event.event_id) <= int(progress.last_event_id)
--- a/src/aspengate/gateway/_replica_bounds.py
+++ b/src/aspengate/gateway/_replica_bounds.py
@@ -36,7 +36,7 @@
         permits = FleetPermits(self.shares, clock, part_of_rank=mostly_first)
         self.limiter = ReplicaLimiter(permits, clock, any_limited)
 
-    def note_routers(self, names: Collection[str], count: int) -> None:
+    def set_routers(self, names: Collection[str], count: int) -> None:
         """Take over which routers may be alive, by the store's list, and how many there are."""
         self.shares.know(names, count)
 
@@ -55,7 +55,9 @@
             return []
         return self.limiter.limited(self.cold_starts.open(ready, service))
 
-    def take(self, view: ReplicaView, service: Service, most_wait_ms: float = 0.0) -> Permit | None:
+    def acquire(
+        self, view: ReplicaView, service: Service, most_wait_ms: float = 0.0
+    ) -> Permit | None:
         """Return the permission to send one request to a replica; None where there is none."""
         cold = self.cold_starts.take(view, service)
         if cold is None:
@@ -66,7 +68,9 @@
             return None
         return JointPermit(cold, limited)
 
-    def join(self, view: ReplicaView, service: Service, granted: Permit) -> Permit | None:
+    def acquire_with_permit(
+        self, view: ReplicaView, service: Service, granted: Permit
+    ) -> Permit | None:
         """Return a permission with a permit that another router has granted; None as ``take``."""
         cold = self.cold_starts.take(view, service)
         if cold is None:
--- a/src/aspengate/gateway/_reporting.py
+++ b/src/aspengate/gateway/_reporting.py
@@ -30,13 +30,13 @@
         self._clock = clock
         self._calls_told_ms = clock.monotonic_ms()
 
-    def tell(self) -> None:
+    def log_if_due(self) -> None:
         """Tell what has been decided since the last call, and now and then the store's calls."""
         self._tell_retries()
         if self._clock.monotonic_ms() - self._calls_told_ms >= _CALLS_TOLD_MS:
-            self.tell_calls()
+            self.log_store_calls()
 
-    def tell_calls(self) -> None:
+    def log_store_calls(self) -> None:
         """Tell how many calls the store got so far, by kind."""
         self._calls_told_ms = self._clock.monotonic_ms()
         log_change("store.calls", session=self._session(), calls=dict(self._store.calls))
--- a/src/aspengate/gateway/_selection.py
+++ b/src/aspengate/gateway/_selection.py
@@ -110,7 +110,7 @@
         while views:
             now = self.clock.monotonic_ms()
             candidate = self.chooser.choose(views, prompt, random.random(), now)
-            permit = self.bounds.take(candidate.view, service)
+            permit = self.bounds.acquire(candidate.view, service)
             if permit is not None:
                 return candidate, permit
             views.remove(candidate.view)
--- a/src/aspengate/gateway/_store_mirrors.py
+++ b/src/aspengate/gateway/_store_mirrors.py
@@ -52,10 +52,10 @@
         self._leads = leads
         self._last_request_ms = last_request_ms
         self.operator = self._mirror(
-            deployment.operator_prefix, reader.take_operator, order=deployment.read_order
+            deployment.operator_prefix, reader.load_operator_items, order=deployment.read_order
         )
         self.replicas = self._mirror(
-            deployment.replica_prefix, reader.take_replicas, order=deployment.read_order
+            deployment.replica_prefix, reader.load_replicas, order=deployment.read_order
         )
         # Routers alone write these, and write again what the store has lost.
         self.crash_records = self._mirror(RECORD_PREFIX, take_records, keep_ms=float("inf"))
--- a/src/aspengate/gateway/_store_reader.py
+++ b/src/aspengate/gateway/_store_reader.py
@@ -30,7 +30,7 @@
         # The revision of the last configuration that was read, whether it came into force or not.
         self._configuration_read = 0
 
-    def take_operator(self, state: MirrorState) -> None:
+    def load_operator_items(self, state: MirrorState) -> None:
         """Take over what the operator wrote; evacuations first, so that none is served without."""
         found = (self._deployment.read_evacuation(item) for item in state.items.values())
         self._registry.evacuate(each for each in found if each is not None)
@@ -38,14 +38,14 @@
         if item is not None:
             self._take_configuration(item)
 
-    def take_replicas(self, state: MirrorState) -> None:
+    def load_replicas(self, state: MirrorState) -> None:
         """Take over the list of replicas; one whose record can't be read is not in it."""
         replicas = []
         for item in state.items.values():
             try:
                 replicas.append(self._deployment.read_replica(item))
             except AspengateError as error:
-                self._unreadable.tell("replica", item, error)
+                self._unreadable.report("replica", item, error)
         self._registry.update(replicas, state.revision)
 
     def limit_of(self, account: str) -> LimitSource | None:
@@ -65,4 +65,4 @@
         try:
             self._holder.offer(self._deployment.read_configuration(item))
         except AspengateError as error:
-            self._unreadable.tell("configuration", item, error)
+            self._unreadable.report("configuration", item, error)
--- a/src/aspengate/gateway/_unreadable.py
+++ b/src/aspengate/gateway/_unreadable.py
@@ -20,7 +20,7 @@
         self._told: OrderedDict[str, int] = OrderedDict()
         self._lock = threading.Lock()
 
-    def tell(self, what: str, item: StoreItem, error: AspengateError) -> None:
+    def report(self, what: str, item: StoreItem, error: AspengateError) -> None:
         """Tell that an item can't be read; ``what`` names what it should be."""
         with self._lock:
             if self._told.get(item.key) == item.revision:
