--- a/features/steps/crash_records_steps.py
+++ b/features/steps/crash_records_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what routers know together of requests under which replicas ended."""
+"""Steps on the crash records that routers share through the store."""
 
 import random
 from collections import Counter
@@ -16,14 +16,14 @@
 from aspengate.store import ConditionFailedError, MirrorState, StoreItem
 from aspengate.telemetry import NullCounters
 
-CONTACT_MS = 3_000.0
-ALLOWED = 3
+SYNC_MS = 3_000.0
+MAX_LATE_SENDS = 3
 CONTENT = "0f" * 16
-ENDS = 3
+CRASHES = 3
 
 
-class Records:
-    """The store's items, as ``transact`` and ``remove`` change them."""
+class RecordStore:
+    """Holds the store's items, which ``transact`` and ``remove`` change."""
 
     def __init__(self):
         self.items = {}
@@ -47,8 +47,8 @@
         return MirrorState(dict(self.items), self.revision, self.revision)
 
 
-class Way:
-    """One router's way to the store, which may be cut."""
+class StoreLink:
+    """One router's connection to the store, which can be interrupted."""
 
     def __init__(self, records):
         self.records = records
@@ -68,382 +68,394 @@
 
 
 class Router:
-    """One router; ``calm_ms`` is since when nothing has befallen it."""
+    """A router; ``undisturbed_since_ms`` is the time of its last failure."""
 
-    def __init__(self, storm, name):
-        self.storm = storm
+    def __init__(self, simulation, name):
+        self.simulation = simulation
         self.name = name
         self.begin()
 
     def begin(self):
-        self.way = Way(self.storm.records)
-        self.calm_ms = self.storm.clock.monotonic_ms()
+        self.link = StoreLink(self.simulation.records)
+        self.undisturbed_since_ms = self.simulation.clock.monotonic_ms()
         self.runs = getattr(self, "runs", 0) + 1
         self.guard = CrashGuard(
-            self.way,
-            self.storm.clock,
+            self.link,
+            self.simulation.clock,
             NullCounters(),
-            broadcast=lambda notice: self.storm.tell(self, notice),
+            broadcast=lambda notice: self.simulation.broadcast(self, notice),
             on_ended=lambda run: None,
-            reaches_store=lambda: not self.way.cut,
-            is_first=lambda content: self is self.storm.routers[0],
-            has_ended=lambda address: address in self.storm.ended,
+            reaches_store=lambda: not self.link.cut,
+            is_first=lambda content: self is self.simulation.routers[0],
+            has_ended=lambda address: address in self.simulation.ended,
         )
         self.guard.records.session = f"{self.name}.{self.runs}"
 
-    def in_touch(self):
-        return not self.way.cut and self.storm.clock.monotonic_ms() >= self.calm_ms + CONTACT_MS
+    def is_in_sync(self):
+        return (
+            not self.link.cut
+            and self.simulation.clock.monotonic_ms() >= self.undisturbed_since_ms + SYNC_MS
+        )
 
-    def look(self):
-        if not self.way.cut:
-            self.guard.load_records(self.storm.records.state())
+    def load_records(self):
+        if not self.link.cut:
+            self.guard.load_records(self.simulation.records.state())
 
 
-class Storm:
-    """A request that ends every replica, at routers that know little of each other."""
+class CrashSimulation:
+    """Simulates a request that crashes every replica, on routers with incomplete information."""
 
     def __init__(self, count, seed):
         self.source = random.Random(seed)
-        self.deadly = self.source.choice([0.1, 0.5, 0.9])
-        self.calm = self.source.choice([12, 60, 1_000])
-        self.herd = self.source.choice([0.0, 0.2, 0.6])
+        self.kill_probability = self.source.choice([0.1, 0.5, 0.9])
+        self.calm_weight = self.source.choice([12, 60, 1_000])
+        self.mass_restart_probability = self.source.choice([0.0, 0.2, 0.6])
         self.clock = ManualClock()
-        self.records = Records()
+        self.records = RecordStore()
         self.ended = set()
         self.end_times = []
         self.sends = []
         self.unseen = 0
         self.under_way = []
-        self.herd_at = []
+        self.mass_restarts = []
         self.messages = []
         self.numbers = 0
         self.routers = [Router(self, f"front-{number}") for number in range(count)]
-        self.clock.advance(CONTACT_MS)
+        self.clock.advance(SYNC_MS)
 
-    def tell(self, sender, notice):
-        """Have a notice reach the others within 20 ms, but where three datagrams get lost."""
-        if sender.way.cut:
+    def broadcast(self, sender, notice):
+        """Deliver a notice to the others within 20 ms, unless all three datagrams are lost."""
+        if sender.link.cut:
             return
         for each in self.routers:
             if each is not sender and self.source.random() > 0.01**3:
                 due = self.clock.monotonic_ms() + self.source.uniform(1, 20)
                 self.messages.append((due, each, each.runs, notice))
 
-    def come(self):
-        """Have the caller come to any router."""
+    def receive_request(self):
+        """Send the caller's request to a random router."""
         router = self.source.choice(self.routers)
-        router.look()
+        router.load_records()
         try:
-            held = router.guard.admit(CONTENT, None)
+            trial = router.guard.admit(CONTENT, None)
         except AspengateError:
             return
-        self.send(router, held)
+        self.send(router, trial)
 
-    def send(self, router, held):
+    def send(self, router, trial):
         self.numbers += 1
         now = self.clock.monotonic_ms()
-        third = self.end_times[ENDS - 1] if len(self.end_times) >= ENDS else float("inf")
-        if router.in_touch() and now > third + CONTACT_MS:
+        third = self.end_times[CRASHES - 1] if len(self.end_times) >= CRASHES else float("inf")
+        if router.is_in_sync() and now > third + SYNC_MS:
             self.sends.append(now)
-        if held is not None:
-            held.sent = True
+        if trial is not None:
+            trial.sent = True
         run = router.guard.current_run(f"i-{self.numbers}")
         due = now + self.source.choice([20, 20, 100, 400])
-        self.under_way.append((due, router, router.runs, run, held))
+        self.under_way.append((due, router, router.runs, run, trial))
 
-    def end(self, router, runs, run, held):
-        """End a replica; its router sees that unless it ends at the same moment.
+    def crash(self, router, runs, run, trial):
+        """Terminate a replica; its router detects that unless it terminates at the same moment.
 
-        What nobody saw who could tell the others is ``unseen``: no router can know of it.
+        ``unseen`` counts crashes that no router can report to the others.
         """
         self.ended.add(run)
         self.end_times.append(self.clock.monotonic_ms())
         if router.runs != runs:
             self.unseen += 1
             return
-        if self.source.random() < self.deadly:
+        if self.source.random() < self.kill_probability:
             self.unseen += 1
-            self.die(router)
+            self.restart(router)
             return
-        self.unseen += router.way.cut
-        if self.source.random() < self.herd:
-            self.herd_at.append(self.clock.monotonic_ms() + self.source.uniform(1, 50))
-        router.guard.record_lost(CONTENT, run, run, held)
-        if held is not None:
-            router.guard.end_trial(held, answered=False)
-        # Its router may end before it writes what is to be written.
+        self.unseen += router.link.cut
+        if self.source.random() < self.mass_restart_probability:
+            self.mass_restarts.append(self.clock.monotonic_ms() + self.source.uniform(1, 50))
+        router.guard.record_lost(CONTENT, run, run, trial)
+        if trial is not None:
+            router.guard.end_trial(trial, answered=False)
+        # The router may be killed before it writes the record.
         if self.source.random() < 0.2:
-            self.die(router)
+            self.restart(router)
 
-    def die(self, router):
+    def restart(self, router):
         router.begin()
 
-    def all_die(self):
+    def restart_all(self):
         for router in self.routers:
             router.begin()
 
     def cut(self):
         router = self.source.choice(self.routers)
-        router.way.cut = not router.way.cut
-        router.calm_ms = self.clock.monotonic_ms()
-        if not router.way.cut:
-            self.hear_again(router)
+        router.link.cut = not router.link.cut
+        router.undisturbed_since_ms = self.clock.monotonic_ms()
+        if not router.link.cut:
+            self.resend_crashes(router)
 
-    def hear_again(self, router):
-        """Have a router and the others hear each other, after a cut."""
+    def resend_crashes(self, router):
+        """Exchange recent crashes between a router and the others after a partition."""
         if notice := router.guard.recent_crashes():
-            self.tell(router, notice)
+            self.broadcast(router, notice)
         now = self.clock.monotonic_ms()
         for each in self.routers:
-            if each is not router and not each.way.cut and (notice := each.guard.recent_crashes()):
+            if each is not router and not each.link.cut and (notice := each.guard.recent_crashes()):
                 self.messages.append((now + 10, router, router.runs, notice))
 
     def suspend(self):
-        """Have all time stand still for one router: what it was about to hear comes later."""
+        """Suspend one router: messages that are on their way to it are delivered later."""
         router = self.source.choice(self.routers)
         later = self.source.uniform(1_000, 4_000)
         self.messages = [
             (due + later if each is router else due, each, runs, notice)
             for due, each, runs, notice in self.messages
         ]
-        router.calm_ms = self.clock.monotonic_ms() + later
+        router.undisturbed_since_ms = self.clock.monotonic_ms() + later
 
-    def suffer(self):
-        """Have something befall the routers, now and then."""
-        troubles = [self.cut, self.suspend, self.all_die]
-        if self.source.random() < len(troubles) / (len(troubles) + self.calm):
-            self.source.choice(troubles)()
+    def inject_failure(self):
+        """Disturb the routers with a random failure, now and then."""
+        failures = [self.cut, self.suspend, self.restart_all]
+        if self.source.random() < len(failures) / (len(failures) + self.calm_weight):
+            self.source.choice(failures)()
 
     def advance(self, duration_ms):
         last = self.clock.monotonic_ms() + duration_ms
         while True:
             due = [(each[0], 0, each) for each in self.messages]
             due += [(each[0], 1, each) for each in self.under_way]
-            due += [(at, 2, None) for at in self.herd_at]
+            due += [(at, 2, None) for at in self.mass_restarts]
             due = [each for each in due if each[0] <= last]
             if not due:
                 break
             at, kind, event = min(due, key=lambda each: each[:2])
             self.clock.advance(max(0.0, at - self.clock.monotonic_ms()))
             if kind == 2:
-                self.herd_at.remove(at)
-                self.all_die()
+                self.mass_restarts.remove(at)
+                self.restart_all()
             elif kind == 1:
                 self.under_way.remove(event)
-                self.end(*event[1:])
+                self.crash(*event[1:])
             else:
                 self.messages.remove(event)
                 _, router, runs, notice = event
-                if router.runs == runs and not router.way.cut:
+                if router.runs == runs and not router.link.cut:
                     router.guard.handle_notice(notice)
         self.clock.advance(last - self.clock.monotonic_ms())
         for router in self.routers:
-            if not router.way.cut:
+            if not router.link.cut:
                 router.guard.records.apply_pending_changes()
 
 
 @given("{routers:d} routers that share the records of a store")
-def share_records(context, routers):
+def routers_with_shared_records(context, routers):
     context.count = routers
 
 
-@then("no order of sends, ends, deaths, cuts, lost messages and suspensions exceeds the bound")
-def bound_holds(context):
+@then(
+    "no order of sends, crashes, restarts, partitions, message losses and pauses exceeds the limit"
+)
+def limit_holds(context):
     few = context.count < 100
 
     @given_any(st.integers(0, 2**32))
     @settings(max_examples=60 if few else 4)
     def check(seed):
-        storm = Storm(context.count, seed)
+        simulation = CrashSimulation(context.count, seed)
         for _ in range(120):
-            storm.come()
-            storm.advance(storm.source.choice([100, 250, 600]))
-            storm.suffer()
-        assert len(storm.end_times) >= ENDS
-        assert len(storm.sends) <= ALLOWED + storm.unseen, (storm.sends, storm.end_times)
+            simulation.receive_request()
+            simulation.advance(simulation.source.choice([100, 250, 600]))
+            simulation.inject_failure()
+        assert len(simulation.end_times) >= CRASHES
+        assert len(simulation.sends) <= MAX_LATE_SENDS + simulation.unseen, (
+            simulation.sends,
+            simulation.end_times,
+        )
 
     check()
 
 
-def meet_ends(context, ends):
-    """Have one router see replicas end under a request, and the others hear of it."""
-    storm = context.storm = Storm(context.count, 1)
-    for number in range(ends):
+def record_crashes(context, count):
+    """Let one router record that a request crashed replicas, and report it to the others."""
+    simulation = context.simulation = CrashSimulation(context.count, 1)
+    for number in range(count):
         run = f"i-{number}"
-        storm.ended.add(run)
-        storm.routers[0].guard.record_lost(CONTENT, run, run, None)
-    storm.advance(100)
-    for router in storm.routers:
-        router.look()
-    return storm
+        simulation.ended.add(run)
+        simulation.routers[0].guard.record_lost(CONTENT, run, run, None)
+    simulation.advance(100)
+    for router in simulation.routers:
+        router.load_records()
+    return simulation
 
 
-def verdicts(storm):
-    """Return what all routers would do with the request now, and count them."""
+def verdicts(simulation):
+    """Return how many routers send, try or refuse the request now."""
     found = Counter()
-    for router in storm.routers:
-        router.look()
+    for router in simulation.routers:
+        router.load_records()
         try:
-            held = router.guard.admit(CONTENT, None)
+            trial = router.guard.admit(CONTENT, None)
         except AspengateError as error:
             found[error.kind] += 1
         else:
-            found["sent" if held is None else "tried"] += 1
-            if held is not None:
-                storm.held = held
-                storm.trier = router
+            found["sent" if trial is None else "tried"] += 1
+            if trial is not None:
+                simulation.trial = trial
+                simulation.trial_router = router
     return found
 
 
-def answer(storm, held, trier):
-    """Have a try be answered in whole."""
-    held.sent = True
-    trier.guard.record_answered(CONTENT)
-    trier.guard.end_trial(held, answered=True)
-    storm.advance(100)
+def answer(simulation, trial, router):
+    """Answer a trial completely."""
+    trial.sent = True
+    router.guard.record_answered(CONTENT)
+    router.guard.end_trial(trial, answered=True)
+    simulation.advance(100)
 
 
-@when("a request met {ends:d} ends by chance, and its try is answered in whole")
-def answered_try(context, ends):
-    storm = meet_ends(context, ends)
-    found = verdicts(storm)
+@when(
+    "a request was on {crashes:d} crashed replicas by chance, and its trial is answered completely"
+)
+def answered_trial(context, crashes):
+    simulation = record_crashes(context, crashes)
+    found = verdicts(simulation)
     assert found == {"tried": 1, ErrorKind.SUSPECTED: context.count - 1}, found
-    answer(storm, storm.held, storm.trier)
+    answer(simulation, simulation.trial, simulation.trial_router)
 
 
-@then("no router holds anything against it, and the store has no record")
-def nothing_held(context):
-    assert not context.storm.records.items
-    assert verdicts(context.storm) == {"sent": context.count}
+@then("no router suspects it, and the store has no record")
+def no_suspicion(context):
+    assert not context.simulation.records.items
+    assert verdicts(context.simulation) == {"sent": context.count}
 
 
-def others_end(storm, router, count):
-    """Have a router see replicas end under another request."""
+def crash_others(simulation, router, count):
+    """Let a router record that another request crashed replicas."""
     for number in range(count):
         run = f"other-{number}"
-        storm.ended.add(run)
+        simulation.ended.add(run)
         router.guard.record_lost("another request", run, run, None)
 
 
-def try_again(storm, *, ends, beside=lambda: None):
-    """Have the try that was just admitted be sent, and show nothing or end its replica.
+def run_trial(simulation, *, crashes, after_crash=lambda: None):
+    """Send the trial that was just admitted; it crashes its replica or is inconclusive.
 
-    ``beside`` happens right after its end.
+    ``after_crash`` is called right after its end.
     """
-    storm.held.sent = True
-    if ends:
-        storm.numbers += 1
-        run = f"tried-{storm.numbers}"
-        storm.ended.add(run)
-        storm.trier.guard.record_lost(CONTENT, run, run, storm.held)
-    storm.trier.guard.end_trial(storm.held, answered=False)
-    beside()
-    storm.advance(100)
-
-
-def tries_within(storm, duration_ms, *, ends):
-    """Have the caller come each second; return at which second it was tried."""
+    simulation.trial.sent = True
+    if crashes:
+        simulation.numbers += 1
+        run = f"tried-{simulation.numbers}"
+        simulation.ended.add(run)
+        simulation.trial_router.guard.record_lost(CONTENT, run, run, simulation.trial)
+    simulation.trial_router.guard.end_trial(simulation.trial, answered=False)
+    after_crash()
+    simulation.advance(100)
+
+
+def trial_seconds(simulation, duration_ms, *, crashes):
+    """Repeat the request every second; return the seconds at which it got a trial."""
     found = []
     for second in range(int(duration_ms / 1_000)):
-        if verdicts(storm)["tried"]:
+        if verdicts(simulation)["tried"]:
             found.append(second)
-            try_again(storm, ends=ends)
-        storm.advance(1_000)
+            run_trial(simulation, crashes=crashes)
+        simulation.advance(1_000)
     return found
 
 
-@when("a request met two ends, and its caller leaves during each try")
-def caller_leaves(context):
-    context.tried = tries_within(meet_ends(context, 2), 610_000, ends=False)
+@when("a request was on two crashed replicas, and its caller disconnects during each trial")
+def caller_disconnects(context):
+    context.trials = trial_seconds(record_crashes(context, 2), 610_000, crashes=False)
 
 
-@then("it is tried three times and then refused for ten minutes")
-def tried_thrice(context):
-    assert len(context.tried) == 4, context.tried
-    assert context.tried[2] < 10 and context.tried[3] >= 600, context.tried
+@then("it gets three trials and is then refused for ten minutes")
+def three_trials(context):
+    assert len(context.trials) == 4, context.trials
+    assert context.trials[2] < 10 and context.trials[3] >= 600, context.trials
 
 
-@when("a request met two ends, and each of its tries ends a replica")
-def tries_end(context):
-    context.tried = tries_within(meet_ends(context, 2), 2_000_000, ends=True)
+@when("a request was on two crashed replicas, and each of its trials crashes a replica")
+def crashing_trials(context):
+    context.trials = trial_seconds(record_crashes(context, 2), 2_000_000, crashes=True)
 
 
-@then("it is tried at once, after a minute and after ten more, and never again")
-def tried_less(context):
-    assert len(context.tried) == 3, context.tried
-    assert context.tried[0] == 0 and context.tried[1] >= 55 and context.tried[2] >= 600
-    assert verdicts(context.storm) == {ErrorKind.QUARANTINED: context.count}
+@then("it gets a trial at once, after a minute and after ten more, and never again")
+def rarer_trials(context):
+    assert len(context.trials) == 3, context.trials
+    assert context.trials[0] == 0 and context.trials[1] >= 55 and context.trials[2] >= 600
+    assert verdicts(context.simulation) == {ErrorKind.QUARANTINED: context.count}
 
 
-@when("a request met two ends, and its replica ends during its try, as three others do")
-def ends_with_others(context):
-    storm = meet_ends(context, 2)
-    assert verdicts(storm)["tried"] == 1
-    other = next(each for each in storm.routers if each is not storm.trier)
-    try_again(storm, ends=True, beside=lambda: others_end(storm, other, 3))
+@when(
+    "a request was on two crashed replicas, and four replicas terminate together during its trial"
+)
+def terminates_with_others(context):
+    simulation = record_crashes(context, 2)
+    assert verdicts(simulation)["tried"] == 1
+    other = next(each for each in simulation.routers if each is not simulation.trial_router)
+    run_trial(simulation, crashes=True, after_crash=lambda: crash_others(simulation, other, 3))
 
 
-@then("it is tried again a second later")
-def tried_soon(context):
-    storm = context.storm
-    assert verdicts(storm) == {ErrorKind.SUSPECTED: context.count}
-    storm.advance(1_000)
-    assert verdicts(storm) == {"tried": 1, ErrorKind.SUSPECTED: context.count - 1}
+@then("it gets another trial a second later")
+def trial_soon(context):
+    simulation = context.simulation
+    assert verdicts(simulation) == {ErrorKind.SUSPECTED: context.count}
+    simulation.advance(1_000)
+    assert verdicts(simulation) == {"tried": 1, ErrorKind.SUSPECTED: context.count - 1}
 
 
 @when("a request is refused, and its record is removed")
 def removed_record(context):
-    storm = meet_ends(context, 2)
-    assert verdicts(storm)["tried"] == 1
-    try_again(storm, ends=True)
-    assert verdicts(storm) == {ErrorKind.QUARANTINED: context.count}
-    assert list(storm.records.items) == [RECORD_PREFIX + CONTENT]
-    storm.records.remove(RECORD_PREFIX + CONTENT)
+    simulation = record_crashes(context, 2)
+    assert verdicts(simulation)["tried"] == 1
+    run_trial(simulation, crashes=True)
+    assert verdicts(simulation) == {ErrorKind.QUARANTINED: context.count}
+    assert list(simulation.records.items) == [RECORD_PREFIX + CONTENT]
+    simulation.records.remove(RECORD_PREFIX + CONTENT)
 
 
 @then("every router sends it again")
 def sent_again(context):
-    assert verdicts(context.storm) == {"sent": context.count}
+    assert verdicts(context.simulation) == {"sent": context.count}
 
 
-@when("a request met two ends, and no router reaches the store")
+@when("a request was on two crashed replicas, and no router reaches the store")
 def no_store(context):
-    storm = meet_ends(context, 2)
-    for router in storm.routers:
-        router.way.cut = True
-    found = verdicts(storm)
+    simulation = record_crashes(context, 2)
+    for router in simulation.routers:
+        router.link.cut = True
+    found = verdicts(simulation)
     assert found == {"tried": 1, ErrorKind.SUSPECTED: context.count - 1}, found
-    storm.held.sent = True
+    simulation.trial.sent = True
 
 
-@then("one of them tries it once, and it is sent again after a whole answer")
-def one_try(context):
-    storm = context.storm
-    assert verdicts(storm) == {ErrorKind.SUSPECTED: context.count}
-    # The way to the store is cut, and not the one to the other routers.
-    for router in storm.routers:
-        router.way.cut = False
-    answer(storm, storm.held, storm.trier)
-    assert verdicts(storm) == {"sent": context.count}
+@then("one of them runs one trial, and a complete response clears the request")
+def one_trial(context):
+    simulation = context.simulation
+    assert verdicts(simulation) == {ErrorKind.SUSPECTED: context.count}
+    # Only the connection to the store was interrupted, not those to the other routers.
+    for router in simulation.routers:
+        router.link.cut = False
+    answer(simulation, simulation.trial, simulation.trial_router)
+    assert verdicts(simulation) == {"sent": context.count}
 
 
-@when("a request met two ends, and its record holds what nobody can read")
-def spoilt_record(context):
-    storm = meet_ends(context, 2)
+@when("a request was on two crashed replicas, and its record is unreadable")
+def unreadable_record(context):
+    simulation = record_crashes(context, 2)
     key = RECORD_PREFIX + CONTENT
-    storm.records.revision += 1
-    storm.records.items[key] = StoreItem(key, b"[[[", storm.records.revision)
+    simulation.records.revision += 1
+    simulation.records.items[key] = StoreItem(key, b"[[[", simulation.records.revision)
 
 
-@then("one router tries it, and the record can be read again")
+@then("one router runs a trial, and the record can be read again")
 def replaced_record(context):
-    found = verdicts(context.storm)
+    found = verdicts(context.simulation)
     assert found == {"tried": 1, ErrorKind.SUSPECTED: context.count - 1}, found
-    item = context.storm.records.items[RECORD_PREFIX + CONTENT]
+    item = context.simulation.records.items[RECORD_PREFIX + CONTENT]
     assert decode_record(item.value, item.key).tries == 1
 
 
-@given("any bytes and any changed record in the store")
+@given("arbitrary bytes and corrupted records in the store")
 def any_records(context):
     good = encode_record(CrashRecord(("i-1", "i-2"), 1, "front-1.aa", 17))
     changed = st.builds(
@@ -464,7 +476,7 @@
     context.values = st.binary(max_size=50) | changed | deep | json
 
 
-@then("reading them gives a record or says why not")
+@then("reading them returns a record or raises BAD_REQUEST")
 def read_any(context):
     @given_any(context.values)
     def check(value):
--- a/features/steps/crashes_steps.py
+++ b/features/steps/crashes_steps.py
@@ -1,4 +1,4 @@
-"""Steps on requests under which replicas end."""
+"""Steps on requests that crash replicas."""
 
 import json
 import threading
@@ -16,8 +16,8 @@
 from gateway_world import TOKENS, start
 
 
-def ask(router, path, **fields):
-    """Ask a router once; return the status, 0 where the connection ended."""
+def get_status(router, path, **fields):
+    """Send one request to a router; return the status, or 0 if the connection broke."""
     caller = router.call()
     try:
         return caller.request("GET", path, **fields).status
@@ -38,17 +38,17 @@
 
 
 def notices_sent(router):
-    """Return how many notices on ended replicas a gateway has sent, by its figures."""
+    """Return how many crash notices a gateway has sent, according to its metrics."""
     text = Caller(router.metrics_address).request("GET", "/metrics").body.decode()
     lines = [line for line in text.splitlines() if 'event="datagrams.sent.crashes"' in line]
     return sum(float(line.rpartition(" ")[2]) for line in lines if "_total" in line)
 
 
-@when("one of them sees a receipt end its replica, and the other one is killed and starts again")
-def seen_and_started(context):
+@when("one of them detects a crash by a receipt, and the other one is killed and restarted")
+def crash_and_restart(context):
     for replica in context.fleet.of("portal"):
         replica.crash_on = "/receipt/ending"
-    assert ask(context.router, "/receipt/ending") == 502
+    assert get_status(context.router, "/receipt/ending") == 502
     # Each notice is sent three times within a second.
     assert eventually(lambda: notices_sent(context.router) == 3)
     other = context.fleet.routers[1]
@@ -56,24 +56,24 @@
     context.fleet.start_again(other)
 
 
-@then("the first one tells the other one once more what it knows")
-def told_once_more(context):
+@then("the first one sends its recent crashes to the other one again")
+def crashes_sent_again(context):
     assert eventually(lambda: notices_sent(context.router) > 3, 10.0)
 
 
-@when("a receipt ends its replica, and another one's answer is lost")
-def ended_and_lost(context):
+@when("a receipt crashes its replica, and the response to another receipt is lost")
+def crash_and_lost_response(context):
     for replica in context.fleet.of("portal"):
         replica.crash_on = "/receipt/ending"
-    assert ask(context.router, "/receipt/ending") == 502
+    assert get_status(context.router, "/receipt/ending") == 502
     alive = [replica for replica in context.fleet.of("portal") if not replica.gone]
     for replica in alive:
         replica.behaviour = "lose"
-    assert ask(context.router, "/receipt/lost") == 502
+    assert get_status(context.router, "/receipt/lost") == 502
 
 
-@then("one line tells which replica ended under which request, and none of the other")
-def one_line(context):
+@then("one log line names the crashed replica and its request, and none names the other request")
+def one_log_line(context):
     ended = [replica for replica in context.fleet.of("portal") if replica.gone]
     found = eventually(lambda: context.router.find_all("replica.ended"))
     contents = [
@@ -87,16 +87,16 @@
     assert [line["content"] for line in lines] == contents, lines
 
 
-@when("a receipt has ended three of them and is asked for once more")
-def asked_once_more(context):
+@when("a receipt has crashed three of them and is requested once more")
+def requested_once_more(context):
     for replica in context.fleet.of("portal"):
         replica.crash_on = "/receipt/ending"
-    statuses = [ask(context.router, "/receipt/ending") for _ in range(4)]
+    statuses = [get_status(context.router, "/receipt/ending") for _ in range(4)]
     assert statuses == [502, 502, 502, 503], statuses
 
 
-@then("its story names each replica, when it ended and which router saw it")
-def story_names_ends(context):
+@then("its trace names each replica, when it terminated and which router detected it")
+def trace_names_crashes(context):
     ended = [replica.identity for replica in context.fleet.of("portal") if replica.gone]
     assert len(ended) == 3, ended
     ends = eventually(lambda: len(found := context.router.find_all("request.ended")) == 4 and found)
@@ -116,8 +116,8 @@
     )
 
 
-@then("two have the same id just where all of these are equal")
-def same_id(context):
+@then("two have the same fingerprint if and only if all of these are equal")
+def same_fingerprint(context):
     @given_any(context.requests, context.requests)
     def check(one, other):
         same = request_fingerprint(*one) == request_fingerprint(*other)
@@ -126,51 +126,51 @@
     check()
 
 
-ENDING = {
+CRASHING_REQUESTS = {
     "a receipt": ("/receipt/ending", {}),
-    "a status that may run once": ("/status/ending", {}),
-    "a stream that may be resumed": ("/score/ending", {"tokens": TOKENS, "body": b"essay"}),
+    "a non-idempotent status call": ("/status/ending", {}),
+    "a resumable stream": ("/score/ending", {"tokens": TOKENS, "body": b"essay"}),
 }
-ENDS = 3
-CONTACT_S = 2.0
-AFTER_S = 4.0
-BACK_S = 1.0
-PERIOD_S = 0.25
-MOST_S = 40.0
-ALLOWED = 3
+CRASHES = 3
+SYNC_S = 2.0
+OBSERVED_AFTER_S = 4.0
+REPLACEMENT_S = 1.0
+INTERVAL_S = 0.25
+TIMEOUT_S = 40.0
+MAX_LATE_ARRIVALS = 3
 
 
-class EndingFleet:
-    """Gateways before replicas that a request ends, and that come back under new ids."""
+class CrashingFleet:
+    """Gateways before replicas that a request crashes; others with new ids replace them."""
 
     def __init__(self, context):
         start(context, routers=4, replicas=6)
         self.fleet = context.fleet
-        self.ended = []
+        self.crash_times = []
         self.lock = threading.Lock()
         self.closing = threading.Event()
-        self.back_s = 0.0
-        self.on_end = lambda: None
+        self.restarted_s = 0.0
+        self.on_crash_counted = lambda: None
         context.cleanup.callback(self.closing.set)
         for replica in list(self.fleet.replicas):
             self.watch(replica)
 
     def watch(self, replica):
         replica.crash_on = "ending"
-        replica.on_crash = self.take_end
+        replica.on_crash = self.record_crash
 
-    def take_end(self, replica):
+    def record_crash(self, replica):
         with self.lock:
-            self.ended.append(time.monotonic())
+            self.crash_times.append(time.monotonic())
         threading.Thread(target=self.replace, args=(replica,), daemon=True).start()
-        self.on_end()
+        self.on_crash_counted()
 
     def replace(self, replica):
-        """Have another replica start, and the record of the one that ended lapse later."""
-        if not self.closing.wait(BACK_S):
+        """Start another replica, and unlist the crashed one later."""
+        if not self.closing.wait(REPLACEMENT_S):
             with self.lock:
                 self.watch(self.fleet.add_replica(replica.service))
-        if not self.closing.wait(BACK_S):
+        if not self.closing.wait(REPLACEMENT_S):
             replica.unlist()
 
     def arrivals(self, target):
@@ -182,65 +182,68 @@
         ]
 
     def kill(self, router):
-        """Kill a gateway and start it again, where it has not been replaced already."""
+        """Kill a gateway and restart it, unless it has been replaced already."""
         with self.lock:
             if router not in self.fleet.routers:
                 return
             router.kill()
             again = self.fleet.start_again(router, ready=False)
         if eventually(again.is_ready):
-            self.back_s = max(self.back_s, time.monotonic())
+            self.restarted_s = max(self.restarted_s, time.monotonic())
 
 
-@given("four gateways before six replicas of each service, which come back after they have ended")
-def ending_fleet(context):
-    context.ending = EndingFleet(context)
+@given("four gateways before six replicas of each service, which are replaced after a crash")
+def crashing_fleet(context):
+    context.crashing = CrashingFleet(context)
 
 
-@when("{request} that ends them is asked for four times a second, and {trouble}")
-def ask_for_ending(context, request, trouble):
-    ending = context.ending
-    context.target, fields = ENDING[request]
-    context.usual = []
-    begin_trouble(ending, trouble)
-    usual = threading.Thread(target=ask_usual, args=(context,), daemon=True)
-    usual.start()
-    last = time.monotonic() + MOST_S
+@when("{request} that crashes them is requested four times a second, and {trouble}")
+def request_crashes(context, request, trouble):
+    crashing = context.crashing
+    context.target, fields = CRASHING_REQUESTS[request]
+    context.other_requests = []
+    arrange_failures(crashing, trouble)
+    other_requests = threading.Thread(target=send_other_requests, args=(context,), daemon=True)
+    other_requests.start()
+    last = time.monotonic() + TIMEOUT_S
     number = 0
-    while time.monotonic() < last and not ending.closing.is_set():
-        if len(ending.ended) >= ENDS and time.monotonic() > ending.ended[2] + CONTACT_S + AFTER_S:
+    while time.monotonic() < last and not crashing.closing.is_set():
+        if (
+            len(crashing.crash_times) >= CRASHES
+            and time.monotonic() > crashing.crash_times[2] + SYNC_S + OBSERVED_AFTER_S
+        ):
             break
-        router = ending.fleet.routers[number % len(ending.fleet.routers)]
-        ending.sender = router
+        router = crashing.fleet.routers[number % len(crashing.fleet.routers)]
+        crashing.sender = router
         threading.Thread(
-            target=ask_quietly, args=(router, context.target, fields), daemon=True
+            target=send_ignoring_errors, args=(router, context.target, fields), daemon=True
         ).start()
         number += 1
-        time.sleep(PERIOD_S)
-    ending.closing.set()
-    usual.join()
-    assert len(ending.ended) >= ENDS, ending.ended
+        time.sleep(INTERVAL_S)
+    crashing.closing.set()
+    other_requests.join()
+    assert len(crashing.crash_times) >= CRASHES, crashing.crash_times
 
 
-def begin_trouble(ending, trouble):
-    routers = ending.fleet.routers
+def arrange_failures(crashing, trouble):
+    routers = crashing.fleet.routers
 
     def kill_all():
-        if len(ending.ended) == ENDS:
+        if len(crashing.crash_times) == CRASHES:
             for router in list(routers):
-                threading.Thread(target=ending.kill, args=(router,), daemon=True).start()
+                threading.Thread(target=crashing.kill, args=(router,), daemon=True).start()
 
     def kill_sender():
-        """Kill the gateway some 20 ms after the end; it may just have seen it."""
-        threading.Timer(0.02, ending.kill, (ending.sender,)).start()
+        """Kill the gateway about 20 ms after the crash, which it may just have detected."""
+        threading.Timer(0.02, crashing.kill, (crashing.sender,)).start()
 
     if trouble.startswith("all"):
-        ending.on_end = kill_all
+        crashing.on_crash_counted = kill_all
     elif trouble.startswith("the gateway"):
-        ending.on_end = kill_sender
+        crashing.on_crash_counted = kill_sender
 
 
-def ask_quietly(router, path, fields):
+def send_ignoring_errors(router, path, fields):
     method = "POST" if fields else "GET"
     try:
         caller = router.call()
@@ -250,76 +253,78 @@
         pass
 
 
-def ask_usual(context):
-    """Ask for usual receipts at all gateways in turn; keep when, and the status."""
-    ending = context.ending
+def send_other_requests(context):
+    """Request ordinary receipts from all gateways in turn; record start time and status."""
+    crashing = context.crashing
     number = 0
-    while not ending.closing.wait(PERIOD_S / 2):
+    while not crashing.closing.wait(INTERVAL_S / 2):
         number += 1
-        router = ending.fleet.routers[number % len(ending.fleet.routers)]
+        router = crashing.fleet.routers[number % len(crashing.fleet.routers)]
         begun = time.monotonic()
         try:
-            status = ask(router, f"/receipt/{number}")
+            status = get_status(router, f"/receipt/{number}")
         except OSError:
             status = 0
-        context.usual.append((begun, status))
+        context.other_requests.append((begun, status))
 
 
-@then("at most three of its arrivals are later than 2 s after the third end")
-def arrivals_in_bound(context):
-    third = context.ending.ended[2]
-    arrivals = sorted(at - third for at in context.ending.arrivals(context.target))
-    late = [at for at in arrivals if at > CONTACT_S]
-    assert len(late) <= ALLOWED, (len(context.ending.ended), arrivals)
+@then("at most three of its requests reach a replica later than 2 s after the third crash")
+def late_arrivals_within_limit(context):
+    third = context.crashing.crash_times[2]
+    arrivals = sorted(at - third for at in context.crashing.arrivals(context.target))
+    late = [at for at in arrivals if at > SYNC_S]
+    assert len(late) <= MAX_LATE_ARRIVALS, (len(context.crashing.crash_times), arrivals)
 
 
-@then("the usual requests of others are answered from then on")
-def usual_answered(context):
-    # A call to a gateway that was killed and does not listen yet is refused by the system.
-    since = max(context.ending.ended[2] + CONTACT_S + 1.0, context.ending.back_s)
-    found = [status for at, status in context.usual if at > since]
+@then("the requests of other callers are answered from then on")
+def other_requests_answered(context):
+    # The operating system refuses connections to a killed gateway until it listens again.
+    since = max(context.crashing.crash_times[2] + SYNC_S + 1.0, context.crashing.restarted_s)
+    found = [status for at, status in context.other_requests if at > since]
     assert found and set(found) == {200}, found
 
 
-@when("one receipt is asked for often, and all portal replicas end at once, twice")
-def end_all_at_once(context):
-    ending = context.ending
+@when("one receipt is requested often, and all portal replicas terminate at once, twice")
+def terminate_all_at_once(context):
+    crashing = context.crashing
     context.common = []
     asking = [
-        threading.Thread(target=ask_common, args=(context, router), daemon=True)
-        for router in ending.fleet.routers
+        threading.Thread(target=request_common, args=(context, router), daemon=True)
+        for router in crashing.fleet.routers
         for _ in range(3)
     ]
-    for replica in ending.fleet.of("portal"):
+    for replica in crashing.fleet.of("portal"):
         replica.work_s = 0.1
     for thread in asking:
         thread.start()
     for _ in range(2):
         assert eventually(lambda: context.common and context.common[-1] == 200)
         time.sleep(0.2)
-        alive = [each for each in ending.fleet.of("portal") if not each.gone]
+        alive = [each for each in crashing.fleet.of("portal") if not each.gone]
         for replica in alive:
             replica.gone = True
             replica.crash()
-            ending.take_end(replica)
-        assert eventually(lambda: any(not each.gone for each in ending.fleet.of("portal")))
+            crashing.record_crash(replica)
+        assert eventually(lambda: any(not each.gone for each in crashing.fleet.of("portal")))
 
 
-def ask_common(context, router):
-    while not context.ending.closing.is_set():
-        context.common.append(ask(router, "/receipt/common"))
+def request_common(context, router):
+    while not context.crashing.closing.is_set():
+        context.common.append(get_status(router, "/receipt/common"))
 
 
-@then("it is answered by all gateways once the replicas are back")
+@then("all gateways answer it once the replicas are replaced")
 def common_answered(context):
-    ending = context.ending
-    ended = {replica.identity for replica in ending.fleet.of("portal") if replica.gone}
+    crashing = context.crashing
+    ended = {replica.identity for replica in crashing.fleet.of("portal") if replica.gone}
     assert len(ended) >= 12, ended
-    told = [line for router in ending.fleet.routers for line in router.find_all("replica.ended")]
+    told = [line for router in crashing.fleet.routers for line in router.find_all("replica.ended")]
     assert told, "no request was there when its replica ended"
 
     def all_answer():
-        return all(ask(router, "/receipt/common") == 200 for router in ending.fleet.routers)
+        return all(
+            get_status(router, "/receipt/common") == 200 for router in crashing.fleet.routers
+        )
 
     assert eventually(all_answer, 15.0)
-    ending.closing.set()
+    crashing.closing.set()
--- a/features/steps/foreign_entries_steps.py
+++ b/features/steps/foreign_entries_steps.py
@@ -16,7 +16,7 @@
 from aspengate.platform import PlatformDeployment
 from aspengate.store import Changes, Snapshot, StoreEra, StoreItem, StoreMirror
 from aspengate.telemetry import NullCounters, lasting_thread
-from crashes_steps import ask
+from crashes_steps import get_status
 from structure_steps import SOURCE
 
 GOOD = {
@@ -77,7 +77,7 @@
     listed = {line["replica"] for line in context.router.find_all("replica.listed")}
     assert listed == {replica.identity for replica in context.fleet.replicas}, listed
     for number in range(20):
-        assert ask(context.router, f"/receipt/{number}") == 200
+        assert get_status(context.router, f"/receipt/{number}") == 200
 
 
 @given("any bytes, any JSON and any good entry with changes")
@@ -199,7 +199,7 @@
 def spoilt_gets_nothing(context):
     before = len(context.spoilt.requests)
     for number in range(20):
-        assert ask(context.router, f"/receipt/{number}") == 200
+        assert get_status(context.router, f"/receipt/{number}") == 200
     assert len(context.spoilt.requests) == before
     # Something else that changes in the list has the entry be looked at again.
     context.fleet.add_replica("engine")
--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -10,7 +10,7 @@
 from aspengate.platform import PlatformDeployment
 from aspengate.replicas import PartMemory, ReplicaRegistry
 from aspengate.store import StoreItem
-from crashes_steps import ask
+from crashes_steps import get_status
 from foreign_entries_steps import GOOD
 from gateway_world import start
 
@@ -101,9 +101,9 @@
     context.old = context.fleet.of("portal")[0]
     context.old.born = SystemClock().now_ms() - 60_000
     context.old.list()
-    assert ask(context.router, "/receipt/1") == 200
+    assert get_status(context.router, "/receipt/1") == 200
     context.identity, context.old.identity = context.old.identity, "i-another"
-    assert ask(context.router, "/receipt/2") == 503
+    assert get_status(context.router, "/receipt/2") == 503
     assert eventually(lambda: context.router.find("replica.replaced"))
 
 
@@ -120,6 +120,6 @@
 @then("it gets the next receipts, within the time of a change of the list")
 def gets_receipts(context):
     begun = time.monotonic()
-    assert eventually(lambda: ask(context.router, "/receipt/3") == 200, 30.0)
+    assert eventually(lambda: get_status(context.router, "/receipt/3") == 200, 30.0)
     # It was left out for 15 s before; a change of the list takes a fraction of a second.
     assert time.monotonic() - begun < 10.0
--- a/features/steps/restored_store_steps.py
+++ b/features/steps/restored_store_steps.py
@@ -14,7 +14,7 @@
 from aspengate.crashes import RECORD_PREFIX
 from aspengate.explanation import read_lines, tell_story
 from aspengate.platform import PlatformStore
-from crashes_steps import ask as ask_once
+from crashes_steps import get_status
 from gateway_prepaid_steps import EVENTS, ask, given_tokens, spend
 from gateway_world import REPEATS, start
 
@@ -275,7 +275,7 @@
     earlier = store.copy()
     for replica in context.fleet.of("portal"):
         replica.crash_on = "/receipt/ending"
-    statuses = [ask_once(context.router, "/receipt/ending") for _ in range(4)]
+    statuses = [get_status(context.router, "/receipt/ending") for _ in range(4)]
     assert statuses == [502, 502, 502, 503], statuses
     assert eventually(lambda: crash_records(context))
     context.ended = sum(replica.gone for replica in context.fleet.of("portal"))
@@ -291,7 +291,7 @@
 def record_written_again(context):
     assert eventually(lambda: crash_records(context), PATIENCE_S)
     for router in context.fleet.routers:
-        assert ask_once(router, "/receipt/ending") == 503
+        assert get_status(router, "/receipt/ending") == 503
     ended = sum(replica.gone for replica in context.fleet.of("portal"))
     assert ended == context.ended, (ended, context.ended)
 
--- a/features/steps/upgrades_steps.py
+++ b/features/steps/upgrades_steps.py
@@ -19,7 +19,7 @@
 from aspengate.crashes import RECORD_PREFIX, CrashRecord
 from aspengate.peers import MEMBER_PREFIX, DatagramPort, RepaymentReply
 from aspengate.telemetry import NullCounters
-from crashes_steps import ask
+from crashes_steps import get_status
 
 FORMATS = Path(write.__file__).parent
 
@@ -119,7 +119,7 @@
 @then("it is ready, and serves")
 def other_serves(context):
     assert eventually(context.other.is_ready, 15.0), context.other.lines[-5:]
-    assert ask(context.other, "/receipt/1") == 200
+    assert get_status(context.other, "/receipt/1") == 200
 
 
 @then("it learns the list of replicas from the other one, and is not ready")
--- a/src/aspengate/crashes/__init__.py
+++ b/src/aspengate/crashes/__init__.py
@@ -1,8 +1,8 @@
-"""Requests under which replicas end: which they are, and when one may be tried again.
+"""Detection of requests that crash replicas, and rules for when such a request may run again.
 
-Load pattern: one request ends each replica that begins to run it, and its caller comes back with
-it to any router; up to 64 others are lost with each replica. 20 replicas ended in 40 s under one
-request that came twice a second (4 routers, 6 replicas).
+Load pattern: one request crashes each replica that starts to run it, and its caller repeats it to
+any router; up to 64 other requests are lost with each replica. Without these rules one request
+that was sent twice a second crashed 20 replicas in 40 s.
 """
 
 from aspengate.crashes._fingerprint import request_fingerprint
--- a/src/aspengate/crashes/_fingerprint.py
+++ b/src/aspengate/crashes/_fingerprint.py
@@ -1,4 +1,4 @@
-"""What makes two requests the same one, come again."""
+"""Fingerprints that identify repeated copies of one request."""
 
 import hashlib
 
@@ -6,10 +6,11 @@
 
 
 def request_fingerprint(account: str, target: str, body: bytes) -> str:
-    """Return the id of all requests of one account with the same path, query and body.
+    """Return the hex fingerprint of all requests of an account with the same path, query and body.
 
-    A strong hash, so that no account can make a request that is taken for another's: whoever
-    could would have another's requests refused. It holds nothing of the body that can be read.
+    ``target`` is the path with the query. The hash is cryptographic: an account that could forge
+    a collision with another account's request could have that request refused. The body can't be
+    recovered from it.
     """
     digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
     for part in (account.encode(), target.encode(), body):
--- a/src/aspengate/crashes/_policy.py
+++ b/src/aspengate/crashes/_policy.py
@@ -1,14 +1,15 @@
-"""How often a request may end a replica before it is refused."""
+"""Limits on how often a request may crash a replica before it is refused."""
 
 import enum
 from dataclasses import dataclass
 
 
 class Verdict(enum.Enum):
-    """What may be done with a request now.
+    """Whether and how a router may send a request now.
 
-    ``SEND`` it as any other; ``TRY`` it once, alone in the fleet, after that was recorded;
-    ``WAIT`` since another router tries it; ``REFUSE`` it.
+    ``SEND``: without restriction. ``TRY``: as a trial, a single send in the whole fleet, after
+    the trial has been recorded. ``WAIT``: not now, because a trial is in progress or a short
+    pause after one has not passed. ``REFUSE``: reject the request.
     """
 
     SEND = "send"
@@ -19,19 +20,21 @@
 
 @dataclass(frozen=True)
 class CrashPolicy:
-    """The bounds on requests under which replicas end; durations are in ms.
-
-    After ``suspect_ends`` replicas a request is only tried alone. Up to 64 requests run at a
-    replica that ends, and some of them beside the cause again: of 117 requests that had met an end
-    and were not the cause, 44 had met two and 11 three (one day without any refusal, 4 routers,
-    counted from their lines by account and size). So two ends alone refuse nobody.
-
-    A try that ends its replica is followed by a pause of ``ended_ms``, the next one by one
-    ``growth`` times as long, and after ``most_ended`` of them there are no more. A try shows
-    nothing where its caller left, or where ``mass_ends`` other replicas ended within ``mass_ms`` of
-    its own, as when a rack loses power. It may be made again after ``pause_ms``, from ``few_tries``
-    on after ``many_ms``. A try whose router says nothing is over after ``try_ms``, which is longer
-    than requests usually last.
+    """Limits on requests that crash replicas; durations are in ms.
+
+    After ``suspect_crashes`` crashed replicas a request runs only in trials. Up to 64 requests run
+    on a replica that crashes, and an innocent one may run beside the cause again: of 117 innocent
+    requests on a crashed replica, 44 were on two and 11 on three. Therefore two crashes alone do
+    not cause a refusal.
+
+    A trial that crashes its replica is followed by a pause of ``crash_pause_ms``; each further one
+    multiplies the pause by ``crash_pause_factor``, and after ``max_crashed_trials`` of them there
+    are no more trials. A trial is inconclusive if its caller disconnects, or if at least
+    ``mass_crash_replicas`` other replicas terminate within ``mass_crash_window_ms`` of its own, as
+    in the power failure of a rack. After an inconclusive trial the next one may start after
+    ``short_pause_ms``, and once there have been ``quick_trials``, after ``long_pause_ms``. A trial
+    whose router does not report an outcome expires after ``trial_timeout_ms``, which is longer
+    than requests usually take.
     """
 
     suspect_crashes: int = 2
@@ -46,7 +49,11 @@
     trial_timeout_ms: float = 20_000.0
 
     def pause_after(self, tries: int, ended: int, *, has_ended: bool) -> float:
-        """Return how long no router tries a request after its last try, in ms."""
+        """Return the pause after a trial, in ms, during which no router starts another one.
+
+        ``tries`` counts all trials, ``ended`` those that crashed their replica; ``has_ended``
+        tells whether the last one did.
+        """
         if has_ended:
             return self.crash_pause_ms * self.crash_pause_factor ** max(0, ended - 1)
         return self.short_pause_ms if tries < self.quick_trials else self.long_pause_ms
--- a/src/aspengate/crashes/_record.py
+++ b/src/aspengate/crashes/_record.py
@@ -1,4 +1,4 @@
-"""What the store keeps of a request under which replicas have ended."""
+"""The stored record of a request that is suspected of crashing replicas."""
 
 from collections.abc import Collection
 
@@ -8,17 +8,18 @@
 from aspengate.store import decode_value
 
 RECORD_PREFIX = "aspengate/crashes/"
-# An end is a replica's id and start, and a record holds some of them.
-_MOST_ENDS = 8
-_MOST_BYTES = 4_096
+# Limits the size of a record; each entry is a replica's id and start time.
+_MAX_CRASHED_RUNS = 8
+_MAX_BYTES = 4_096
 
 
 class CrashRecord(msgspec.Struct, frozen=True):
-    """A suspect request, under the key ``RECORD_PREFIX`` and its content's id.
+    """Holds the state of a suspect request, stored under ``RECORD_PREFIX`` and its fingerprint.
 
-    ``ends`` are the runs of replicas that ended under it. ``tries`` of it were made alone, the
-    last one by the session ``trying``, empty once that is over; ``ended`` of them ended their
-    replica. Nobody tries it before ``next_try_ms``, in wall-clock milliseconds.
+    ``ends`` are the runs of replicas that the request may have crashed. ``tries`` counts its
+    trials, and ``ended`` those that crashed their replica. ``trying`` is the session of the router
+    that is running a trial, and empty if there is none. No trial starts before ``next_try_ms``, in
+    wall-clock milliseconds.
     """
 
     ends: tuple[str, ...] = ()
@@ -28,39 +29,44 @@
     next_try_ms: int = 0
 
     def begin_trial(
-        self, session: str, ends: Collection[str], now_ms: int, policy: CrashPolicy
+        self, session: str, crashed_runs: Collection[str], now_ms: int, policy: CrashPolicy
     ) -> "CrashRecord":
-        """Return the record with one more try, which begins now."""
+        """Return the record with one more trial, which ``session`` starts now."""
         until_ms = now_ms + int(policy.trial_timeout_ms)
-        return CrashRecord(_merged(self.ends, ends), self.tries + 1, self.ended, session, until_ms)
+        return CrashRecord(
+            _merge_runs(self.ends, crashed_runs), self.tries + 1, self.ended, session, until_ms
+        )
 
     def cancel_trial(self, now_ms: int, policy: CrashPolicy) -> "CrashRecord":
-        """Return the record after a try that was not sent."""
+        """Return the record after a trial whose request was not sent."""
         until_ms = now_ms + int(policy.short_pause_ms)
         return CrashRecord(self.ends, max(0, self.tries - 1), self.ended, "", until_ms)
 
     def end_trial(
-        self, ends: Collection[str], now_ms: int, policy: CrashPolicy, *, has_ended: bool
+        self, crashed_runs: Collection[str], now_ms: int, policy: CrashPolicy, *, has_ended: bool
     ) -> "CrashRecord":
-        """Return the record after a try that showed nothing, or that ended its replica."""
+        """Return the record after a trial that crashed its replica or was inconclusive."""
         ended = self.ended + has_ended
         pause_ms = policy.pause_after(self.tries, ended, has_ended=has_ended)
-        return CrashRecord(_merged(self.ends, ends), self.tries, ended, "", now_ms + int(pause_ms))
+        return CrashRecord(
+            _merge_runs(self.ends, crashed_runs), self.tries, ended, "", now_ms + int(pause_ms)
+        )
 
 
-def _merged(one: Collection[str], other: Collection[str]) -> tuple[str, ...]:
-    return tuple(sorted({*one, *other}))[:_MOST_ENDS]
+def _merge_runs(one: Collection[str], other: Collection[str]) -> tuple[str, ...]:
+    return tuple(sorted({*one, *other}))[:_MAX_CRASHED_RUNS]
 
 
 def decide_verdict(
-    ends: Collection[str], record: CrashRecord | None, now_ms: int, policy: CrashPolicy
+    crashed_runs: Collection[str], record: CrashRecord | None, now_ms: int, policy: CrashPolicy
 ) -> Verdict:
-    """Return what may be done with a request that ``ends`` and its record speak of.
+    """Return whether and how a request may be sent.
 
-    ``ends`` are what this router has seen and heard; ``now_ms`` is wall-clock time.
+    ``crashed_runs`` are the runs of replicas that it may have crashed, as this router has observed
+    or received from others; ``record`` is its stored record, if any; ``now_ms`` is wall-clock time.
     """
     if record is None:
-        return Verdict.SEND if len(ends) < policy.suspect_crashes else Verdict.TRY
+        return Verdict.SEND if len(crashed_runs) < policy.suspect_crashes else Verdict.TRY
     if record.ended >= policy.max_crashed_trials:
         return Verdict.REFUSE
     pause_ms = record.next_try_ms - now_ms
@@ -70,10 +76,10 @@
 
 
 def encode_record(record: CrashRecord) -> bytes:
-    """Return a record as the store keeps it."""
+    """Return a record in its stored form."""
     return msgspec.json.encode(record)
 
 
 def decode_record(value: bytes, key: str) -> CrashRecord:
-    """Return the record that a value holds; raises BAD_REQUEST for other bytes."""
-    return decode_value(value, CrashRecord, key, _MOST_BYTES)
+    """Return the decoded record; raises BAD_REQUEST if ``value`` is not a valid record."""
+    return decode_value(value, CrashRecord, key, _MAX_BYTES)
--- a/src/aspengate/gateway/_crash_records.py
+++ b/src/aspengate/gateway/_crash_records.py
@@ -1,4 +1,4 @@
-"""The store's records of requests under which replicas ended, read and written by one router."""
+"""Reads and writes the stored records of requests that crash replicas."""
 
 import enum
 import threading
@@ -25,15 +25,15 @@
 )
 from aspengate.telemetry import Counters, lasting_thread, log_change
 
-# How long to wait, in ms, before a change of a record that failed is made again. No request waits
-# for it: until then a try counts as under way.
-_AGAIN_MS = 500.0
-# How many records there are at most; those whose next try was due first go first.
+# Delay before a failed change of a record is retried, in ms. No request waits for it: until then
+# the trial counts as in progress.
+_RETRY_DELAY_MS = 500.0
+# If there are more records, the one whose next trial was due first is removed.
 MAX_RECORDS = 1_000
 
 
 class RecordChange(enum.IntEnum):
-    """What is to become of a record; of two that wait together the higher one is made."""
+    """A change of a record; if two are pending for one record, the higher one is made."""
 
     WRITE_AGAIN = 1
     TAKE_BACK_TRY = 2
@@ -43,10 +43,10 @@
 
 
 @dataclass(frozen=True)
-class _Wanted:
-    """A change that was asked for, to be made from ``due_ms`` on, in monotonic milliseconds.
+class _PendingChange:
+    """A requested change, to be made at ``due_ms`` or later, in monotonic milliseconds.
 
-    ``ended_run`` is the run of a replica that ended under the try, if the change tells of one.
+    ``ended_run`` is the replica's run that terminated during the trial, otherwise empty.
     """
 
     change: RecordChange
@@ -55,21 +55,21 @@
 
 
 @dataclass(frozen=True)
-class _Known:
-    """A record as of the store's ``revision``; None where it can't be read, and may be replaced."""
+class _CachedRecord:
+    """A record and its store revision; ``record`` is None if unreadable, and may be replaced."""
 
     record: CrashRecord | None
     revision: int
 
 
 class CrashRecords:
-    """Keeps a copy of the records, and changes them on a thread of its own.
+    """Caches the records, and changes them on a background thread.
 
-    Only ``begin_try`` writes at once, since a request waits for it. ``ends_of`` returns the runs of
-    replicas that ended under a content, ``ended_with`` how many others ended together with a run.
-    ``on_gone`` is called with the content of each record that was removed, by a router or by an
-    operator. ``writes_again`` tells whether this router is one of those that write a record again
-    which the store has lost.
+    Only ``begin_trial`` writes synchronously, because a request waits for it. ``crashed_runs``
+    returns the runs that a request may have crashed, and ``count_ended_near`` how many other runs
+    terminated at about the same time as a run. ``on_removed`` is called with the fingerprint of
+    each record that a router or an operator has removed. ``rewrites_lost`` returns whether this
+    router is one of those that write a record again which the store has lost.
     """
 
     def __init__(
@@ -78,9 +78,9 @@
         clock: Clock,
         counters: Counters,
         policy: CrashPolicy,
-        ends_of: Callable[[str], Collection[str]],
-        ended_with: Callable[[str], int],
-        on_gone: Callable[[str], None],
+        crashed_runs: Callable[[str], Collection[str]],
+        count_ended_near: Callable[[str], int],
+        on_removed: Callable[[str], None],
         rewrites_lost: Callable[[str], bool] = lambda _: True,
     ) -> None:
         self.session = ""
@@ -88,211 +88,221 @@
         self._clock = clock
         self._counters = counters
         self._policy = policy
-        self._ends_of = ends_of
-        self._ended_with = ended_with
-        self._on_gone = on_gone
-        self._writes_again = rewrites_lost
-        # The store's revision up to which its records have been read.
-        self._seen = 0
-        # What this router wrote, and the store lost before it was read again.
-        self._lost: dict[str, _Known] = {}
-        # Requests whose records the store does not hold as they are known here.
+        self._crashed_runs = crashed_runs
+        self._count_ended_near = count_ended_near
+        self._on_removed = on_removed
+        self._rewrites_lost = rewrites_lost
+        # The store revision up to which the records have been read.
+        self._loaded_revision = 0
+        # Records that this router wrote and the store lost before they were read back.
+        self._lost: dict[str, _CachedRecord] = {}
+        # Fingerprints of records that differ from the store's and have to be written.
         self._unwritten: set[str] = set()
         self._unreadable = UnreadableItems(counters)
-        self._known: dict[str, _Known] = {}
-        self._changes: dict[str, _Wanted] = {}
+        self._records: dict[str, _CachedRecord] = {}
+        self._changes: dict[str, _PendingChange] = {}
         self._lock = threading.Lock()
-        self._some = threading.Event()
+        self._has_changes = threading.Event()
         self._closing = threading.Event()
         self._thread = lasting_thread(self._run, "crash-records", counters)
 
     def start(self) -> None:
-        """Begin to make changes."""
+        """Start to make changes."""
         self._thread.start()
 
     def close(self) -> None:
-        """Stop; a try whose end is not written by now counts as under way for its whole time."""
+        """Stop; a trial whose outcome is not yet written counts as in progress until it expires."""
         self._closing.set()
-        self._some.set()
+        self._has_changes.set()
 
-    def get(self, content: str) -> CrashRecord | None:
-        """Return the record of a request, as far as it is known here."""
-        known = self._known.get(content)
-        return known.record if known else None
+    def get(self, fingerprint: str) -> CrashRecord | None:
+        """Return the cached record of a request, or None."""
+        cached = self._records.get(fingerprint)
+        return cached.record if cached else None
 
     def __len__(self) -> int:
-        return len(self._known)
+        return len(self._records)
 
     def load(self, state: MirrorState) -> None:
-        """Take over the records that the store holds; one that can't be read holds nothing.
+        """Replace the cached records by the store's; an unreadable one counts as empty.
 
-        Where the store has lost some, they hold on, and are written again.
+        Records that the store has lost stay in effect and are written again.
         """
         found = {
             item.key.removeprefix(RECORD_PREFIX): self._read(item) for item in state.items.values()
         }
         kept = {key.removeprefix(RECORD_PREFIX): item for key, item in state.kept.items.items()}
-        for content, item in kept.items():
+        for fingerprint, item in kept.items():
             if item is not None:
                 stored = state.kept.stored.get(item.key, 0)
-                found[content] = replace(found[content], revision=stored)
+                found[fingerprint] = replace(found[fingerprint], revision=stored)
         with self._lock:
-            before, seen, self._seen = self._known, self._seen, state.revision
-            for content, known in before.items():
-                if known.revision > seen and era_of(known.revision) < era_of(state.revision):
-                    self._lost[content] = known
-            for content, known in self._lost.items():
-                stored = found[content].revision if content in found else 0
-                found[content] = replace(known, revision=stored)
+            before, loaded = self._records, self._loaded_revision
+            self._loaded_revision = state.revision
+            for fingerprint, cached in before.items():
+                if cached.revision > loaded and era_of(cached.revision) < era_of(state.revision):
+                    self._lost[fingerprint] = cached
+            for fingerprint, cached in self._lost.items():
+                stored = found[fingerprint].revision if fingerprint in found else 0
+                found[fingerprint] = replace(cached, revision=stored)
             newer = {
-                content: known
-                for content, known in before.items()
-                if known.revision > state.revision
+                fingerprint: cached
+                for fingerprint, cached in before.items()
+                if cached.revision > state.revision
             }
-            self._known = {**found, **newer}
+            self._records = {**found, **newer}
             self._unwritten = {*kept, *self._lost}
-        for content in set(before) - set(self._known):
-            self._on_gone(content)
-        for content in list(self._unwritten):
-            if self._writes_again(content):
-                is_removed = content in kept and kept[content] is None
+        for fingerprint in set(before) - set(self._records):
+            self._on_removed(fingerprint)
+        for fingerprint in list(self._unwritten):
+            if self._rewrites_lost(fingerprint):
+                is_removed = fingerprint in kept and kept[fingerprint] is None
                 self.request_change(
-                    content, RecordChange.REMOVE if is_removed else RecordChange.WRITE_AGAIN
+                    fingerprint, RecordChange.REMOVE if is_removed else RecordChange.WRITE_AGAIN
                 )
 
-    def begin_trial(self, content: str) -> bool:
-        """Record that this router tries a request; return whether no other one was first.
+    def begin_trial(self, fingerprint: str) -> bool:
+        """Record the start of a trial; return False if another router changed the record first.
 
-        Raises STORE_UNAVAILABLE or OUTCOME_UNKNOWN where that was not written for certain.
+        Raises STORE_UNAVAILABLE or OUTCOME_UNKNOWN if the write is not confirmed.
         """
         now = self._clock.now_ms()
-        known = self._known.get(content)
-        record = (known.record if known else None) or CrashRecord()
-        begun = record.begin_trial(self.session, self._ends_of(content), now, self._policy)
+        cached = self._records.get(fingerprint)
+        record = (cached.record if cached else None) or CrashRecord()
+        begun = record.begin_trial(self.session, self._crashed_runs(fingerprint), now, self._policy)
         try:
-            self._write(content, begun, known.revision if known else 0)
+            self._write(fingerprint, begun, cached.revision if cached else 0)
         except ConditionFailedError as failure:
-            self._take_present(content, failure)
+            self._adopt_stored(fingerprint, failure)
             return False
         return True
 
-    def request_change(self, content: str, change: RecordChange) -> None:
-        """Have a record changed soon."""
-        self._ask(content, _Wanted(change))
+    def request_change(self, fingerprint: str, change: RecordChange) -> None:
+        """Schedule a change of a record."""
+        self._schedule(fingerprint, _PendingChange(change))
 
-    def request_crashed_trial(self, content: str, ended_run: str) -> None:
-        """Have the end of a try recorded whose replica ended, once other ends are known as well."""
+    def request_crashed_trial(self, fingerprint: str, ended_run: str) -> None:
+        """Schedule the end of a trial that crashed its replica.
+
+        The delay allows for other terminations at the same time to become known.
+        """
         due_ms = self._clock.monotonic_ms() + self._policy.mass_crash_window_ms
-        self._ask(content, _Wanted(RecordChange.END_TRY_WITH_REPLICA, due_ms, ended_run))
+        self._schedule(
+            fingerprint, _PendingChange(RecordChange.END_TRY_WITH_REPLICA, due_ms, ended_run)
+        )
 
-    def _ask(self, content: str, wanted: _Wanted) -> None:
+    def _schedule(self, fingerprint: str, pending: _PendingChange) -> None:
         with self._lock:
-            waiting = self._changes.get(content, wanted)
-            self._changes[content] = max(wanted, waiting, key=lambda each: each.change)
-        self._some.set()
+            scheduled = self._changes.get(fingerprint, pending)
+            self._changes[fingerprint] = max(pending, scheduled, key=lambda each: each.change)
+        self._has_changes.set()
 
-    def _read(self, item: StoreItem) -> _Known:
+    def _read(self, item: StoreItem) -> _CachedRecord:
         try:
-            return _Known(decode_record(item.value, item.key), item.revision)
+            return _CachedRecord(decode_record(item.value, item.key), item.revision)
         except AspengateError as error:
             self._unreadable.report("crash", item, error)
-            return _Known(None, item.revision)
+            return _CachedRecord(None, item.revision)
 
     def _run(self) -> None:
         while not self._closing.is_set():
-            self._some.wait()
-            self._some.clear()
+            self._has_changes.wait()
+            self._has_changes.clear()
             while not self._closing.is_set() and not self.apply_pending_changes():
-                self._closing.wait(_AGAIN_MS / 1_000)
+                self._closing.wait(_RETRY_DELAY_MS / 1_000)
 
     def apply_pending_changes(self) -> bool:
-        """Make the changes that are due; return whether none is left to be made later."""
+        """Make the changes that are due; return whether none is left."""
         now = self._clock.monotonic_ms()
         with self._lock:
-            asked = self._changes
-            self._changes = {key: each for key, each in asked.items() if each.due_ms > now}
+            requested = self._changes
+            self._changes = {key: each for key, each in requested.items() if each.due_ms > now}
         failed = {}
-        for content, wanted in asked.items():
-            if wanted.due_ms > now:
+        for fingerprint, pending in requested.items():
+            if pending.due_ms > now:
                 continue
             try:
-                if not self._make(content, wanted):
-                    failed[content] = wanted
+                if not self._apply_change(fingerprint, pending):
+                    failed[fingerprint] = pending
             except AspengateError as error:
-                failed[content] = wanted
+                failed[fingerprint] = pending
                 self._counters.count("crashes.not_recorded")
                 log_change(
                     "crash.not_recorded",
-                    content=content,
-                    wanted=wanted.change.name,
+                    content=fingerprint,
+                    wanted=pending.change.name,
                     error=str(error),
                 )
             except Exception as error:
                 self._counters.count("crashes.not_recorded")
-                log_change("crash.record_fault", content=content, error=repr(error))
+                log_change("crash.record_fault", content=fingerprint, error=repr(error))
         with self._lock:
             self._changes = {**failed, **self._changes}
             return not self._changes
 
-    def _make(self, content: str, wanted: _Wanted) -> bool:
-        """Make a change; return False where another router changed the record first."""
-        known = self._known.get(content)
-        if wanted.change is RecordChange.REMOVE:
-            self._store.remove(RECORD_PREFIX + content)
+    def _apply_change(self, fingerprint: str, pending: _PendingChange) -> bool:
+        """Make a change; return False if another router changed the record first."""
+        cached = self._records.get(fingerprint)
+        if pending.change is RecordChange.REMOVE:
+            self._store.remove(RECORD_PREFIX + fingerprint)
             with self._lock:
-                self._known.pop(content, None)
+                self._records.pop(fingerprint, None)
             return True
-        record = (known.record if known else None) or CrashRecord()
-        changed = self._changed(content, record, wanted)
-        if changed == record and content not in self._unwritten:
+        record = (cached.record if cached else None) or CrashRecord()
+        changed = self._changed_record(fingerprint, record, pending)
+        if changed == record and fingerprint not in self._unwritten:
             return True
         try:
-            self._write(content, changed, known.revision if known else 0)
+            self._write(fingerprint, changed, cached.revision if cached else 0)
         except ConditionFailedError as failure:
-            self._take_present(content, failure)
+            self._adopt_stored(fingerprint, failure)
             return False
         self._drop_oldest()
         return True
 
-    def _changed(self, content: str, record: CrashRecord, wanted: _Wanted) -> CrashRecord:
-        """Return what a change makes of a record; a try of another router's stays as it is."""
-        if record.trying != self.session or wanted.change is RecordChange.WRITE_AGAIN:
+    def _changed_record(
+        self, fingerprint: str, record: CrashRecord, pending: _PendingChange
+    ) -> CrashRecord:
+        """Return the changed record; a trial of another router is left unchanged."""
+        if record.trying != self.session or pending.change is RecordChange.WRITE_AGAIN:
             return record
         now = self._clock.now_ms()
-        if wanted.change is RecordChange.TAKE_BACK_TRY:
+        if pending.change is RecordChange.TAKE_BACK_TRY:
             return record.cancel_trial(now, self._policy)
         has_ended = (
-            wanted.change is RecordChange.END_TRY_WITH_REPLICA
-            and self._ended_with(wanted.ended_run) < self._policy.mass_crash_replicas
+            pending.change is RecordChange.END_TRY_WITH_REPLICA
+            and self._count_ended_near(pending.ended_run) < self._policy.mass_crash_replicas
+        )
+        return record.end_trial(
+            self._crashed_runs(fingerprint), now, self._policy, has_ended=has_ended
         )
-        return record.end_trial(self._ends_of(content), now, self._policy, has_ended=has_ended)
 
-    def _write(self, content: str, record: CrashRecord, revision: int) -> None:
-        key = RECORD_PREFIX + content
+    def _write(self, fingerprint: str, record: CrashRecord, revision: int) -> None:
+        key = RECORD_PREFIX + fingerprint
         written = self._store.transact({key: revision}, (Put(key, encode_record(record)),))
         with self._lock:
-            self._known = {**self._known, content: _Known(record, written)}
-            self._lost.pop(content, None)
-            self._unwritten.discard(content)
-
-    def _take_present(self, content: str, failure: ConditionFailedError) -> None:
-        """Take over what another router wrote, or that there is no record any more."""
-        item = failure.items.get(RECORD_PREFIX + content)
-        known = self._read(item) if item else None
+            self._records = {**self._records, fingerprint: _CachedRecord(record, written)}
+            self._lost.pop(fingerprint, None)
+            self._unwritten.discard(fingerprint)
+
+    def _adopt_stored(self, fingerprint: str, failure: ConditionFailedError) -> None:
+        """Cache the record that another router wrote, or remove it if there is none."""
+        item = failure.items.get(RECORD_PREFIX + fingerprint)
+        cached = self._read(item) if item else None
         with self._lock:
-            rest = {each: found for each, found in self._known.items() if each != content}
-            self._known = {**rest, content: known} if known else rest
-            self._lost.pop(content, None)
-            self._unwritten.discard(content)
+            rest = {each: found for each, found in self._records.items() if each != fingerprint}
+            self._records = {**rest, fingerprint: cached} if cached else rest
+            self._lost.pop(fingerprint, None)
+            self._unwritten.discard(fingerprint)
 
-    def _due_ms(self, content: str) -> int:
-        record = self.get(content)
+    def _next_trial_ms(self, fingerprint: str) -> int:
+        record = self.get(fingerprint)
         return record.next_try_ms if record else 0
 
     def _drop_oldest(self) -> None:
-        if len(self._known) <= MAX_RECORDS:
+        if len(self._records) <= MAX_RECORDS:
             return
-        oldest = min(self._known, key=self._due_ms)
+        oldest = min(self._records, key=self._next_trial_ms)
         self._counters.count("crashes.dropped")
         log_change("crash.dropped", content=oldest)
         self._store.remove(RECORD_PREFIX + oldest)
