--- a/features/steps/crashes_steps.py
+++ b/features/steps/crashes_steps.py
@@ -13,7 +13,7 @@
 from aspengate.crashes import content_id
 from aspengate.explanation import read_lines, tell_story
 from aspengate.losses import cause_of
-from gateway_world import TOKENS, start
+from gateway_world import TOKENS, start_gateways
 
 
 def ask(router, path, **fields):
@@ -29,12 +29,12 @@
 
 @given("a gateway before four portal replicas")
 def four_portals(context):
-    start(context, replicas=4)
+    start_gateways(context, replicas=4)
 
 
 @given("two gateways before four portal replicas")
 def two_gateways(context):
-    start(context, routers=2, replicas=4)
+    start_gateways(context, routers=2, replicas=4)
 
 
 def notices_sent(router):
@@ -142,7 +142,7 @@
     """Gateways before replicas that a request ends, and that come back under new ids."""
 
     def __init__(self, context):
-        start(context, routers=4, replicas=6)
+        start_gateways(context, routers=4, replicas=6)
         self.fleet = context.fleet
         self.ended = []
         self.lock = threading.Lock()
--- a/features/steps/framing_steps.py
+++ b/features/steps/framing_steps.py
@@ -128,7 +128,7 @@
         received, error = read_all(render(method, path, lines, body, chunked))
         if error is not None:
             return
-        asked = spelling.caller_request(received[0])
+        asked = spelling.parse_request(received[0])
         written = spelling.replica_headers(
             asked,
             identity="i-1",
@@ -222,7 +222,7 @@
         return
     assert len(requests) == 1, requests
     try:
-        PlatformSpelling().caller_request(requests[0])
+        PlatformSpelling().parse_request(requests[0])
     except AspengateError as failure:
         assert failure.answer.status == 400, failure
     else:
@@ -264,7 +264,7 @@
         answer = ReplicaAnswer.await_head(
             connection,
             waiter,
-            lambda headers: PlatformSpelling().answers_request(headers, "0a"),
+            lambda headers: PlatformSpelling().matches_request(headers, "0a"),
         )
         body = b""
         while part := answer.next_data(waiter):
--- a/features/steps/gateway_answers_steps.py
+++ b/features/steps/gateway_answers_steps.py
@@ -7,36 +7,38 @@
 
 from aspengate.clock import ManualClock
 from aspengate.replicas import Replica, ReplicaRegistry
-from gateway_world import REPEATS, TOKENS, in_background, start
+from gateway_world import GENEROUS_RETRIES, TOKENS, in_background, start_gateways
 
 
 @given("a gateway before one replica of each service")
 def one_replica(context):
-    start(context, **REPEATS)
+    start_gateways(context, **GENEROUS_RETRIES)
 
 
 @given("a gateway before two replicas of each service")
 def two_replicas(context):
-    start(context, replicas=2, **REPEATS)
+    start_gateways(context, replicas=2, **GENEROUS_RETRIES)
 
 
 @given("a gateway before three replicas that all lose every answer")
 def three_losing(context):
     bounds = {"retry_slack": 10, "retry_ratio": 0.2, "retry_window_s": 20, "retry_start_ms": 0}
-    start(context, replicas=3, **bounds)
+    start_gateways(context, replicas=3, **bounds)
     for replica in context.fleet.of("portal"):
         replica.behaviour = "lose"
 
 
 @given("a gateway before replicas with long answers")
 def long_answers(context):
-    start(context, fields={"events": 2_000, "pause_s": 0.02, "work_s": 30.0}, **REPEATS)
+    start_gateways(
+        context, fields={"events": 2_000, "pause_s": 0.02, "work_s": 30.0}, **GENEROUS_RETRIES
+    )
     context.fleet.of("engine")[0].work_s = 0.0
 
 
 @given("a gateway before replicas that say nothing")
 def mute_replicas(context):
-    start(context, **REPEATS)
+    start_gateways(context, **GENEROUS_RETRIES)
     context.fleet.of("portal")[0].behaviour = "mute"
 
 
@@ -279,7 +281,7 @@
 
 @given("two gateways that have used a portal replica, and another one that was just listed")
 def two_gateways(context):
-    start(context, routers=2, **REPEATS)
+    start_gateways(context, routers=2, **GENEROUS_RETRIES)
     for router in context.fleet.routers:
         assert eventually(lambda: router.find("domain.led"))  # noqa: B023
     used(context, 8)
--- a/features/steps/gateway_configuration_steps.py
+++ b/features/steps/gateway_configuration_steps.py
@@ -5,7 +5,7 @@
 from platform_standins.fleet import eventually
 from platform_standins.operator import route
 
-from gateway_world import REPEATS, start
+from gateway_world import GENEROUS_RETRIES, start_gateways
 
 
 def status_of(router, path="/receipt/1", **fields):
@@ -89,7 +89,7 @@
 
 @given("two gateways with a door to the store each")
 def two_gateways(context):
-    start(context, routers=2, **REPEATS)
+    start_gateways(context, routers=2, **GENEROUS_RETRIES)
     first, second = context.fleet.routers
     assert eventually(lambda: first.find("member.heard") and second.find("member.heard"))
 
--- a/features/steps/gateway_prepaid_steps.py
+++ b/features/steps/gateway_prepaid_steps.py
@@ -6,7 +6,7 @@
 from platform_standins.fleet import eventually
 
 from aspengate.allowances import AllowanceSizing, Purse
-from gateway_world import REPEATS, start
+from gateway_world import GENEROUS_RETRIES, start_gateways
 
 EVENTS = 10
 EVENT_TOKENS = 3
@@ -17,7 +17,9 @@
 
 @given("two gateways and an account with {prepaid:d} prepaid tokens")
 def two_gateways(context, prepaid):
-    start(context, routers=2, fields={"events": EVENTS, "pause_s": 0.0}, **REPEATS)
+    start_gateways(
+        context, routers=2, fields={"events": EVENTS, "pause_s": 0.0}, **GENEROUS_RETRIES
+    )
     version = context.fleet.operator.set_prepaid("board", prepaid)
     for router in context.fleet.routers:
         assert eventually(lambda r=router: r.find("configuration.applied", version=version))
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -6,17 +6,17 @@
 from platform_standins import Caller
 from platform_standins.fleet import eventually
 
-from gateway_world import TOKENS, in_background, start
+from gateway_world import TOKENS, in_background, start_gateways
 
 
 @given("a gateway before replicas of both services")
 def gateway_with_replicas(context):
-    start(context, fields={"events": 30, "pause_s": 0.02}, stop_s=6)
+    start_gateways(context, fields={"events": 30, "pause_s": 0.02}, stop_s=6)
 
 
 @given("a gateway before replicas that take longer than a stop")
 def gateway_with_slow_replicas(context):
-    start(context, fields={"events": 1_000, "pause_s": 0.05}, stop_s=4)
+    start_gateways(context, fields={"events": 1_000, "pause_s": 0.05}, stop_s=4)
 
 
 @when("SIGTERM comes while a stream runs")
--- a/features/steps/gateway_world.py
+++ b/features/steps/gateway_world.py
@@ -8,11 +8,16 @@
 
 # Repeats as many as a scenario wants, as soon as a router has known its fleet for a tenth of a
 # second.
-REPEATS = {"retry_slack": 400, "retry_ratio": 0.2, "retry_window_s": 0.1, "retry_start_ms": 0}
+GENEROUS_RETRIES = {
+    "retry_slack": 400,
+    "retry_ratio": 0.2,
+    "retry_window_s": 0.1,
+    "retry_start_ms": 0,
+}
 TOKENS = (1_000, 60)
 
 
-def start(context, routers=1, replicas=1, fields=None, **bounds):
+def start_gateways(context, routers=1, replicas=1, fields=None, **bounds):
     context.fleet = Fleet(context.cleanup)
     context.fleet.operator.write()
     for _ in range(replicas):
--- a/features/steps/leadership_steps.py
+++ b/features/steps/leadership_steps.py
@@ -8,7 +8,7 @@
 from aspengate.peers import DatagramPort, DomainLeadership, Member, MemberList
 from aspengate.store import Changes, Removal, Snapshot, Stance, StoreEra, StoreItem, StoreMirror
 from aspengate.telemetry import NullCounters
-from gateway_world import start
+from gateway_world import start_gateways
 
 BEAT_MS = 300
 STEP_MS = 50
@@ -282,7 +282,7 @@
 
 @given("a fleet of three gateways in one failure domain")
 def three_gateways(context):
-    start(context, routers=3)
+    start_gateways(context, routers=3)
     third = context.fleet.routers[2]
     assert eventually(lambda: third.find("domain.leader_heard")), third.lines
 
--- a/features/steps/leaving_and_resting_steps.py
+++ b/features/steps/leaving_and_resting_steps.py
@@ -2,7 +2,7 @@
 
 from behave import given, then, when
 
-from pressing_callers import Callers, arrivals, start_asked
+from load_generator import LoadGenerator, replica_arrivals, start_with_load
 
 ROUTERS = 4
 REPLICAS = 4
@@ -14,37 +14,37 @@
 
 @given("four gateways that share repeats, before four replicas of each service")
 def fleet(context):
-    context.told = start_asked(context, routers=ROUTERS, replicas=REPLICAS)
+    context.told = start_with_load(context, routers=ROUTERS, replicas=REPLICAS)
 
 
 @when("for 6 s one replica of each service says that it leaves, and its record does not")
 def one_leaves(context):
     for replica in context.told:
         replica.leaving = True
-    context.callers = Callers(context.fleet.routers).run_for(6.0)
+    context.callers = LoadGenerator(context.fleet.routers).run_for(6.0)
 
 
 @when("for 6 s one replica of each service turns requests away and asks for rest")
 def one_rests(context):
     for replica in context.told:
         replica.behaviour, replica.rest = "rest", str(REST_S)
-    context.callers = Callers(context.fleet.routers).run_for(6.0)
+    context.callers = LoadGenerator(context.fleet.routers).run_for(6.0)
 
 
 @when("for 6 s one replica of each service turns requests away")
 def one_refuses(context):
     for replica in context.told:
         replica.behaviour = "refuse"
-    context.callers = Callers(context.fleet.routers).run_for(6.0)
+    context.callers = LoadGenerator(context.fleet.routers).run_for(6.0)
 
 
 def passed_on(context):
     """Return when each gateway had first passed on an answer of a service's leaving replica."""
     first = {}
-    for asked in context.callers.asked.values():
+    for asked in context.callers.requests.values():
         if asked.header("Server-Leaving"):
-            before = first.get(asked.way, asked.ended_s)
-            first[asked.way] = min(before, asked.ended_s)
+            before = first.get(asked.gateway_and_kind, asked.ended_s)
+            first[asked.gateway_and_kind] = min(before, asked.ended_s)
     return first
 
 
@@ -53,19 +53,21 @@
     first = passed_on(context)
     assert {kind for _, kind in first} == {"receipt", "score"}, first
     late = [
-        (identity, round(asked.sent_s - first[asked.way], 3))
+        (identity, round(asked.sent_s - first[asked.gateway_and_kind], 3))
         for replica in context.told
-        for identity, _ in arrivals(context.callers, replica)
-        if (asked := context.callers.asked[identity]).sent_s > first[asked.way] + DRAIN_S
+        for identity, _ in replica_arrivals(context.callers, replica)
+        if (asked := context.callers.requests[identity]).sent_s
+        > first[asked.gateway_and_kind] + DRAIN_S
     ]
     assert not late, (len(late), late[:5])
 
 
 def in_rests(context, replica, rest_s):
     """Return how many requests each gateway sent within each rest that it had been asked for."""
-    asked = context.callers.asked
+    asked = context.callers.requests
     got = [
-        (asked[identity].router.name, at_s) for identity, at_s in arrivals(context.callers, replica)
+        (asked[identity].router.name, at_s)
+        for identity, at_s in replica_arrivals(context.callers, replica)
     ]
     found = []
     for begun_s, identity in replica.asked_for_rest:
@@ -85,7 +87,7 @@
 
 @then("every repeatable request was answered")
 def all_answered(context):
-    asked = context.callers.asked
+    asked = context.callers.requests
     failed = [(each.path, each.status) for each in asked.values() if each.status != 200]
     assert len(asked) > 100 and not failed, (len(asked), len(failed), failed[:5])
 
--- a/features/steps/limited_choice_steps.py
+++ b/features/steps/limited_choice_steps.py
@@ -10,8 +10,8 @@
 from aspengate.configuration import Service
 from aspengate.experiments._overload import LoadPattern, _Play
 from aspengate.fleet_permits import Permit
-from aspengate.gateway._limited_choice import LimitedChoice
 from aspengate.gateway._permit_asker import GrantedPermit
+from aspengate.gateway._rate_limited_selection import RateLimitedSelection
 from aspengate.gateway._replica_bounds import ReplicaBounds
 from aspengate.replica_limits import PermitHolders
 from aspengate.replicas import LimitStatement, SelfStatement
@@ -98,7 +98,7 @@
         if not by_cost:
             chooser = Shuffled(chooser, self.source)
         asker = Asker(self, name)
-        return LimitedChoice(self.bounds[name], asker, chooser, self.clock, NullCounters())
+        return RateLimitedSelection(self.bounds[name], asker, chooser, self.clock, NullCounters())
 
     def _arrive(self, kind, now_ms):
         self._next(kind, now_ms)
@@ -148,7 +148,7 @@
         known_route=SimpleNamespace(objective_ms=kind.aim_ms),
         request=SimpleNamespace(received_ms=now),
         waiter=SimpleNamespace(remaining_ms=10 * kind.aim_ms),
-        content="",
+        fingerprint="",
     )
 
 
--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -12,7 +12,7 @@
 from aspengate.store import StoreItem
 from crashes_steps import ask
 from foreign_entries_steps import GOOD
-from gateway_world import start
+from gateway_world import start_gateways
 
 BORN = 1_790_000_000_000
 COLD_MS = 3_000
@@ -97,7 +97,7 @@
 
 @given("a gateway that met another replica at the address of the only one")
 def met_another(context):
-    start(context)
+    start_gateways(context)
     context.old = context.fleet.of("portal")[0]
     context.old.born = SystemClock().now_ms() - 60_000
     context.old.list()
--- a/features/steps/pressing_callers.py
+++ b/features/steps/load_generator.py
@@ -4,7 +4,7 @@
 import threading
 import time
 
-from gateway_world import TOKENS, start
+from gateway_world import TOKENS, start_gateways
 
 # Repeats as the platform allows them, but in a shorter window.
 WINDOW_S = 2
@@ -18,7 +18,7 @@
 _numbers = itertools.count(1)
 
 
-class Asked:
+class SentRequest:
     """One request: the gateway that got it, when it was sent, and what came back when."""
 
     def __init__(self, router, path):
@@ -35,12 +35,12 @@
         return found[0] if found else ""
 
     @property
-    def way(self):
+    def gateway_and_kind(self):
         """The gateway and the kind of request, by which the service is chosen."""
         return self.router.name, self.path.split("/")[1]
 
 
-class Callers:
+class LoadGenerator:
     """Callers that ask each gateway in turn, by default for receipts and for streams.
 
     Each asks again ``pause_s`` after it has got its answer, until they stop.
@@ -52,7 +52,7 @@
         self.routers = routers
         self.paths = paths
         self.pause_s = pause_s
-        self.asked = {}
+        self.requests = {}
         self._stop = threading.Event()
         self._threads = [
             threading.Thread(target=self._ask, args=(offset,), daemon=True)
@@ -86,14 +86,18 @@
             self._ask_once(router, f"{path}{next(_numbers)}")
 
     def _ask_once(self, router, path):
-        asked = Asked(router, path)
+        asked = SentRequest(router, path)
         identity = path.strip("/").replace("/", "-")
         fields = {}
         if path.startswith("/score"):
             # Prompts of many kinds, so that each replica is somebody's first choice.
             part = f"{sum(identity.encode()) % MOST_PARTS:x}:{TOKENS[0] - 1}"
-            fields = {"tokens": TOKENS, "body": b"essay", "parts": f"{part},{len(self.asked):x}:1"}
-        self.asked[identity] = asked
+            fields = {
+                "tokens": TOKENS,
+                "body": b"essay",
+                "parts": f"{part},{len(self.requests):x}:1",
+            }
+        self.requests[identity] = asked
         try:
             caller = router.call()
             answer = caller.request("POST" if fields else "GET", path, identity=identity, **fields)
@@ -105,13 +109,13 @@
         asked.headers = answer.headers
 
 
-def start_asked(context, *, routers, replicas, change=None):
+def start_with_load(context, *, routers, replicas, change=None):
     """Start gateways that share repeats; return the replica of each service that is asked most.
 
     These are to speak: what a replica says that nobody would choose puts nothing to the test.
     ``change`` is applied to the configuration.
     """
-    start(
+    start_gateways(
         context,
         routers=routers,
         replicas=replicas,
@@ -123,17 +127,17 @@
     if change is not None:
         context.fleet.operator.change(change)
     time.sleep(START_MS / 1_000 + 0.5)
-    Callers(context.fleet.routers).run_for(WARM_UP_S)
+    LoadGenerator(context.fleet.routers).run_for(WARM_UP_S)
     return [
         max(context.fleet.of(service), key=lambda each: len(each.requests))
         for service in ("portal", "engine")
     ]
 
 
-def arrivals(callers, replica):
+def replica_arrivals(callers, replica):
     """Return what a replica got of the callers' requests, as pairs of id and time."""
     return [
         (each.identity, each.at_s)
         for each in list(replica.requests)
-        if each.identity in callers.asked
+        if each.identity in callers.requests
     ]
--- a/features/steps/only_replica_steps.py
+++ b/features/steps/only_replica_steps.py
@@ -3,14 +3,14 @@
 from behave import given, then, when
 from platform_standins.fleet import eventually
 
-from gateway_world import REPEATS, start
+from gateway_world import GENEROUS_RETRIES, start_gateways
 
 WORK_S = 0.02
 
 
 @given("a gateway before one replica that has answered quickly")
 def answered_quickly(context):
-    start(context, fields={"work_s": WORK_S}, **REPEATS)
+    start_gateways(context, fields={"work_s": WORK_S}, **GENEROUS_RETRIES)
     context.replica = context.fleet.of("portal")[0]
     for number in range(30):
         assert ask(context, number).status == 200
--- a/features/steps/replica_limit_answers_steps.py
+++ b/features/steps/replica_limit_answers_steps.py
@@ -16,7 +16,7 @@
 from aspengate.errors import ErrorKind
 from aspengate.explanation import read_lines, tell_story
 from aspengate.fleet_permits import FleetPermits, RouterShares, mostly_first
-from aspengate.gateway._attempt import Attempt, AttemptParts, TryAnotherError
+from aspengate.gateway._attempt import Attempt, AttemptDependencies, RetryableAttemptError
 from aspengate.gateway._permit_asker import PermitAsker
 from aspengate.losses import cause_of
 from aspengate.peers import PermitReply, PermitUse
@@ -173,12 +173,12 @@
             listed.clock.advance(500)
 
     pool = SlowPool(name_limit)
-    parts = AttemptParts(_Spelling(), pool, listed.clock, _Chooser(), listed.registry)
+    parts = AttemptDependencies(_Spelling(), pool, listed.clock, _Chooser(), listed.registry)
     attempt = Attempt(parts, _Exchange(), _Candidate(view), None, context.permit, "i-1")
     context.raised = None
     try:
-        attempt.begin("")
-    except TryAnotherError as error:
+        attempt.send("")
+    except RetryableAttemptError as error:
         context.raised = error
     attempt.end("x", failed=False)
     context.attempt, context.pool = attempt, pool
--- a/features/steps/replica_limits_steps.py
+++ b/features/steps/replica_limits_steps.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 from platform_standins.fleet import eventually
 
-from pressing_callers import Callers, arrivals, start_asked
+from load_generator import LoadGenerator, replica_arrivals, start_with_load
 
 REPLICAS = 4
 # What the platform allows: from so long after the first word, in any 4 s, so much more than named.
@@ -24,14 +24,14 @@
 
 @given("{routers:d} gateways that share repeats, before four replicas of each service")
 def fleet(context, routers):
-    context.in_need = start_asked(context, routers=routers, replicas=REPLICAS, change=uncap)
+    context.in_need = start_with_load(context, routers=routers, replicas=REPLICAS, change=uncap)
 
 
 @when("for {seconds:d} s one replica of each service names a limit of {limit} request a second")
 def one_limited(context, seconds, limit):
     for replica in context.in_need:
         replica.limit = limit
-    context.callers = Callers(context.fleet.routers).run_for(seconds)
+    context.callers = LoadGenerator(context.fleet.routers).run_for(seconds)
 
 
 @when(
@@ -52,7 +52,7 @@
     context.in_need = list(context.fleet.replicas)
     for replica in context.in_need:
         replica.limit = limit
-    callers = Callers(context.fleet.routers, callers=2 * asked, pause_s=1.0)
+    callers = LoadGenerator(context.fleet.routers, callers=2 * asked, pause_s=1.0)
     context.callers = callers.run_for(seconds)
     context.ended_s = time.monotonic()
 
@@ -60,7 +60,7 @@
 @then("every repeatable request of the last {seconds:d} s was answered")
 def last_answered(context, seconds):
     begun_s = context.ended_s - seconds
-    asked = [each for each in context.callers.asked.values() if each.sent_s >= begun_s]
+    asked = [each for each in context.callers.requests.values() if each.sent_s >= begun_s]
     failed = [(each.path, each.status, each.headers) for each in asked if each.status != 200]
     assert len(asked) > 4 * seconds and not failed, (len(asked), len(failed), failed[:3])
 
@@ -68,8 +68,8 @@
 def told(callers, replica):
     """Return when each gateway had first passed on an answer of a replica that names a limit."""
     first = {}
-    for identity, _ in arrivals(callers, replica):
-        asked = callers.asked[identity]
+    for identity, _ in replica_arrivals(callers, replica):
+        asked = callers.requests[identity]
         if asked.header("Server-Limit"):
             name = asked.router.name
             first[name] = min(asked.ended_s, first.get(name, asked.ended_s))
@@ -86,10 +86,10 @@
     if not first:
         return []
     settled_s = max(min(first.values()) + SETTLED_S, narrowed_s + TOLD_S)
-    names = {identity: asked.router.name for identity, asked in callers.asked.items()}
+    names = {identity: asked.router.name for identity, asked in callers.requests.items()}
     return [
         at_s
-        for identity, at_s in arrivals(callers, replica)
+        for identity, at_s in replica_arrivals(callers, replica)
         if at_s >= settled_s and at_s >= first.get(names[identity], float("inf")) + TOLD_S
     ]
 
@@ -109,7 +109,7 @@
     for replica in context.in_need:
         replica.limit = "5" if trouble == "it named 5 before" else limit
     context.cut_s = []
-    context.callers = Callers(context.fleet.routers).begin()
+    context.callers = LoadGenerator(context.fleet.routers).begin()
     time.sleep(3.5)
     TROUBLES[trouble](context)
     context.callers.end()
@@ -171,7 +171,7 @@
             for runs, killed_s, back_s in context.cut_s
         )
 
-    asked = [each for each in context.callers.asked.values() if not is_cut(each)]
+    asked = [each for each in context.callers.requests.values() if not is_cut(each)]
     failed = [(each.path, each.status) for each in asked if each.status != 200]
     assert len(asked) > 100 and not failed, (len(asked), len(failed), failed[:5])
 
@@ -183,7 +183,7 @@
         replica.work_s = 0.05
     for replica in context.in_need:
         replica.limit = "1"
-    context.callers = Callers(context.fleet.routers).begin()
+    context.callers = LoadGenerator(context.fleet.routers).begin()
     time.sleep(named)
     for replica in context.in_need:
         replica.limit = None
@@ -197,7 +197,8 @@
     for replica in context.in_need:
         got = {
             each: sum(
-                context.ended_s - seconds <= at_s for _, at_s in arrivals(context.callers, each)
+                context.ended_s - seconds <= at_s
+                for _, at_s in replica_arrivals(context.callers, each)
             )
             for each in context.fleet.of(replica.service)
         }
--- a/features/steps/replica_statements_steps.py
+++ b/features/steps/replica_statements_steps.py
@@ -12,10 +12,10 @@
 from aspengate.clock import ManualClock
 from aspengate.connections import ReplicaAnswer
 from aspengate.explanation import read_lines, tell_story
-from aspengate.gateway._attempt import Attempt, AttemptParts, TryAnotherError
+from aspengate.gateway._attempt import Attempt, AttemptDependencies, RetryableAttemptError
 from aspengate.replicas import Replica, ReplicaNotice, ReplicaRegistry, Standing
 from aspengate.replicas._statement import LONGEST_REST_MS
-from gateway_world import TOKENS, start
+from gateway_world import TOKENS, start_gateways
 
 BORN = 1_790_000_000_000
 REST_MS = 3_000.0
@@ -304,7 +304,7 @@
 
 @given("a gateway that has chosen a replica for a request, whose connection comes up slowly")
 def chosen(context):
-    start(context, replicas=2)
+    start_gateways(context, replicas=2)
 
 
 @when("another answer says that this replica leaves before the first byte has gone")
@@ -312,13 +312,13 @@
     listed = Listed(["i-1"])
     view = listed.view("i-1")
     pool = SlowPool(lambda _: listed.registry.note_said(view, LEAVING))
-    parts = AttemptParts(_Spelling(), pool, listed.clock, _Chooser(), listed.registry)
+    parts = AttemptDependencies(_Spelling(), pool, listed.clock, _Chooser(), listed.registry)
     settled = []
     attempt = Attempt(parts, _Exchange(), _Candidate(view), None, _Permit(settled), "i-1")
     try:
-        attempt.begin("")
+        attempt.send("")
         context.raised = None
-    except TryAnotherError as error:
+    except RetryableAttemptError as error:
         context.raised = error
     attempt.end("x", failed=False)
     context.attempt, context.pool, context.settled = attempt, pool, settled
--- a/features/steps/restored_store_steps.py
+++ b/features/steps/restored_store_steps.py
@@ -16,7 +16,7 @@
 from aspengate.platform import PlatformStore
 from crashes_steps import ask as ask_once
 from gateway_prepaid_steps import EVENTS, ask, given_tokens, spend
-from gateway_world import REPEATS, start
+from gateway_world import GENEROUS_RETRIES, start_gateways
 
 # How long the store is away, and how long its writers then take to write again, in s.
 AWAY_S = 0.5
@@ -87,7 +87,7 @@
 @given("three gateways before two replicas of each service")
 def three_gateways(context):
     fields = {"events": EVENTS, "pause_s": 0.0}
-    start(context, routers=3, replicas=2, fields=fields, **REPEATS)
+    start_gateways(context, routers=3, replicas=2, fields=fields, **GENEROUS_RETRIES)
 
 
 @given("the failure domain of all replicas is evacuated")
@@ -261,12 +261,12 @@
     for _ in range(2):
         context.fleet.add_replica("engine", events=EVENTS, pause_s=0.0)
     for _ in range(3):
-        context.fleet.add_router(**REPEATS)
+        context.fleet.add_router(**GENEROUS_RETRIES)
 
 
 @given("three gateways before four portal replicas")
 def four_portals(context):
-    start(context, routers=3, replicas=4)
+    start_gateways(context, routers=3, replicas=4)
 
 
 @when("a receipt has ended three of them, and the store loses its record")
--- a/features/steps/retries_steps.py
+++ b/features/steps/retries_steps.py
@@ -32,19 +32,19 @@
     def start(self, told=True):
         budget = SharedRetryBudget(POLICY, self.clock)
         if told:
-            budget.note_routers(self.size)
+            budget.set_router_count(self.size)
         return budget
 
     def request(self, number, count):
         for _ in range(count):
-            self.budgets[number].note_request("portal")
+            self.budgets[number].record_request("portal")
             self.requests.append(self.clock.monotonic_ms())
 
     def fail(self, number, count, late_ms=0):
         """Have a router repeat as often as it may; the repeats arrive ``late_ms`` later."""
         budget = self.budgets[number]
         for _ in range(count):
-            if budget.take("portal").allowed:
+            if budget.acquire("portal").allowed:
                 self.late.append((self.clock.monotonic_ms() + late_ms, number, budget))
         self.advance(0)
 
@@ -70,7 +70,7 @@
         """Tell the routers that run how many they are, with those that were killed."""
         for budget in self.budgets:
             if budget is not None:
-                budget.note_routers(self.size)
+                budget.set_router_count(self.size)
 
     def worst(self):
         """Return by how much the repeats of some window exceed what it allows."""
--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -108,16 +108,16 @@
 
 @when("a router on it looks at its clock")
 def look_at_clock(context):
-    from aspengate.gateway._suspension import SuspensionWatch
+    from aspengate.gateway._suspension import SuspensionDetector
 
     context.counters = NullCounters()
     context.ended = []
-    watch = SuspensionWatch(context.clock, context.counters, lambda: context.ended.append(1))
-    watch.look()
+    watch = SuspensionDetector(context.clock, context.counters, lambda: context.ended.append(1))
+    watch.poll()
     assert not context.ended
     context.stopped.suspended_s = 5.0
-    watch.look()
-    watch.look()
+    watch.poll()
+    watch.poll()
 
 
 @then("it ends the watches that wait, and a line and a counter tell for how long it was suspended")
--- a/features/steps/telemetry_steps.py
+++ b/features/steps/telemetry_steps.py
@@ -14,14 +14,14 @@
 from platform_standins.operator import KEY
 
 from aspengate.telemetry import BackgroundLog
-from gateway_world import REPEATS, TOKENS, start
+from gateway_world import GENEROUS_RETRIES, TOKENS, start_gateways
 
 PIPE_LINES = 400
 
 
 @given("a gateway whose standard output nobody reads")
 def nobody_reads(context):
-    start(context, unread=True, **REPEATS)
+    start_gateways(context, unread=True, **GENEROUS_RETRIES)
 
 
 @when("more lines are logged than the pipe and the queue hold")
--- a/src/aspengate/gateway/__init__.py
+++ b/src/aspengate/gateway/__init__.py
@@ -2,8 +2,8 @@
 
 from aspengate.gateway._daemon import Gateway
 from aspengate.gateway._exchange import Exchange, Filter, Outcome
-from aspengate.gateway._ports import RequestSpelling
-from aspengate.gateway._request import CallerRequest, PromptPart, TokenBounds
+from aspengate.gateway._ports import HeaderCodec
+from aspengate.gateway._request import CallerRequest, PromptSegment, TokenBounds
 from aspengate.gateway._settings import GatewaySettings
 
 __all__ = [
@@ -12,8 +12,8 @@
     "Filter",
     "Gateway",
     "GatewaySettings",
+    "HeaderCodec",
     "Outcome",
-    "PromptPart",
-    "RequestSpelling",
+    "PromptSegment",
     "TokenBounds",
 ]
--- a/src/aspengate/gateway/_application.py
+++ b/src/aspengate/gateway/_application.py
@@ -11,10 +11,10 @@
 from aspengate.errors import AspengateError, ErrorKind, RunState
 from aspengate.gateway._dispatcher import Dispatcher
 from aspengate.gateway._exchange import Exchange, Filter
-from aspengate.gateway._ports import RequestSpelling
+from aspengate.gateway._ports import HeaderCodec
 from aspengate.gateway._progress import Progress
 from aspengate.gateway._request import CallerRequest
-from aspengate.gateway._story import RequestLog
+from aspengate.gateway._request_log import RequestLog
 from aspengate.gateway.filters import used_tokens
 from aspengate.serving import CallerConnection
 from aspengate.telemetry import log_change
@@ -32,7 +32,7 @@
     def __init__(
         self,
         *,
-        spelling: RequestSpelling,
+        header_codec: HeaderCodec,
         holder: ConfigurationHolder,
         admission: tuple[Filter, ...],
         dispatcher: Dispatcher,
@@ -40,7 +40,7 @@
         log: RequestLog,
         refusing: Callable[[], bool],
     ) -> None:
-        self.spelling = spelling
+        self.header_codec = header_codec
         self.holder = holder
         self.admission = admission
         self.dispatcher = dispatcher
@@ -80,7 +80,7 @@
         """Read, admit and dispatch the request; raises AspengateError."""
         self.progress.begun_ms = self.application.clock.monotonic_ms()
         self.application.last_request_ms = self.progress.begun_ms
-        request = self.application.spelling.caller_request(self.caller.request)
+        request = self.application.header_codec.parse_request(self.caller.request)
         self.request_id = request.request_id
         if self.application.refusing():
             raise AspengateError(ErrorKind.LEAVING, "this router is being stopped")
@@ -138,7 +138,7 @@
         body = msgspec.json.encode({"error": error.body(self.request_id)})
         headers = [
             ("Content-Type", "application/json"),
-            *self.application.spelling.error_headers(self.request_id),
+            *self.application.header_codec.error_headers(self.request_id),
         ]
         if error.retry_after_s is not None:
             headers.append(("Retry-After", f"{math.ceil(error.retry_after_s * 10) / 10:g}"))
--- a/src/aspengate/gateway/_attempt.py
+++ b/src/aspengate/gateway/_attempt.py
@@ -12,9 +12,9 @@
 )
 from aspengate.errors import AspengateError, ErrorKind
 from aspengate.fleet_permits import Permit
+from aspengate.gateway._attempt_timeouts import AttemptTimeouts
 from aspengate.gateway._exchange import Exchange
-from aspengate.gateway._patience import Patience
-from aspengate.gateway._ports import RequestSpelling
+from aspengate.gateway._ports import HeaderCodec
 from aspengate.replicas import (
     Candidate,
     ReplicaChooser,
@@ -28,7 +28,7 @@
 _UNREACHED_PAUSE_MS = 1_000.0
 
 
-class TryAnotherError(Exception):
+class RetryableAttemptError(Exception):
     """An attempt failed in a way that lets another replica be tried.
 
     ``sent`` tells whether the replica may have received the request; ``paid`` whether the
@@ -47,10 +47,10 @@
 
 
 @dataclass(frozen=True)
-class AttemptParts:
+class AttemptDependencies:
     """What attempts use."""
 
-    spelling: RequestSpelling
+    header_codec: HeaderCodec
     pool: ConnectionPool
     clock: Clock
     chooser: ReplicaChooser
@@ -67,14 +67,14 @@
 
     def __init__(
         self,
-        parts: AttemptParts,
+        dependencies: AttemptDependencies,
         exchange: Exchange,
         candidate: Candidate,
-        patience: Patience,
+        patience: AttemptTimeouts,
         permit: Permit,
         replica_run: str,
     ) -> None:
-        self.parts = parts
+        self.dependencies = dependencies
         self.exchange = exchange
         self.candidate = candidate
         self.view = candidate.view
@@ -86,7 +86,7 @@
         self.sent_ms = float("inf")
         self.reused = False
         self.outcome = ""
-        self.begun_ms = parts.clock.monotonic_ms()
+        self.begun_ms = dependencies.clock.monotonic_ms()
         self.first_ms: float | None = None
         self.notice = ReplicaNotice()
         self.ended_ms: float | None = None
@@ -95,10 +95,10 @@
         gap_aim_ms = exchange.known_route.longest_gap_ms
         self._work = self.view.begin(self.begun_ms, candidate.tokens, gap_aim_ms)
 
-    def begin(self, last_event_id: str) -> ReplicaAnswer:
+    def send(self, last_event_id: str) -> ReplicaAnswer:
         """Send the request and return the answer, of which the head has come.
 
-        Raises TryAnotherError where the replica was not reached, takes no requests by now, or is
+        Raises RetryableAttemptError where the replica was not reached, accepts no requests, or is
         given up because it says nothing; otherwise UPSTREAM_FAILED, DEADLINE_EXCEEDED or
         CallerGoneError.
         """
@@ -106,17 +106,17 @@
         head = self._head(last_event_id)
         self._check_standing()
         self.sent = True
-        self.sent_ms = self.parts.clock.monotonic_ms()
+        self.sent_ms = self.dependencies.clock.monotonic_ms()
         try:
             connection.send(head, self.exchange.request.body, self.exchange.waiter)
         except AspengateError as error:
             if error.kind is not ErrorKind.NO_UPSTREAM:
                 raise
             self.sent = False
-            raise TryAnotherError(error, sent=False) from error
+            raise RetryableAttemptError(error, sent=False) from error
         self.permit.settle(sent=True)
         answer = self._await_head(connection)
-        now = self.parts.clock.monotonic_ms()
+        now = self.dependencies.clock.monotonic_ms()
         self.first_ms = now - self.begun_ms
         self.view.sign_of_life(now)
         return answer
@@ -129,11 +129,11 @@
         """
         if self.first_ms is not None:
             first_ms = self.begun_ms + self.first_ms
-            self.parts.chooser.note_first(self.candidate, self._work, first_ms)
+            self.dependencies.chooser.note_first(self.candidate, self._work, first_ms)
 
     def note_sign(self) -> None:
         """Note that more of the answer has come."""
-        self.view.sign_of_life(self.parts.clock.monotonic_ms())
+        self.view.sign_of_life(self.dependencies.clock.monotonic_ms())
 
     def note_event(self, now_ms: float) -> None:
         """Note that an event of a stream has come."""
@@ -145,14 +145,14 @@
         One to a replica that leaves serves no more requests, and ``end`` closes it.
         """
         if self.connection is not None and not self.view.said.is_leaving:
-            self.parts.pool.give_back(self.life, self.connection, answer.rest_ms)
+            self.dependencies.pool.give_back(self.life, self.connection, answer.rest_ms)
             self.connection = None
 
     def end(self, outcome: str, *, failed: bool) -> None:
         """End the attempt, and the run if it still goes on; a replica's failure is remembered."""
         if self.ended_ms is not None:
             return
-        self.ended_ms = self.parts.clock.monotonic_ms()
+        self.ended_ms = self.dependencies.clock.monotonic_ms()
         self.outcome = outcome
         self.permit.settle(sent=self.sent)
         self.view.end(self._work, self.ended_ms)
@@ -179,9 +179,11 @@
 
     @property
     def _ended_or_now_ms(self) -> float:
-        return self.ended_ms if self.ended_ms is not None else self.parts.clock.monotonic_ms()
+        return (
+            self.ended_ms if self.ended_ms is not None else self.dependencies.clock.monotonic_ms()
+        )
 
-    def told(self) -> dict[str, object]:
+    def log_fields(self) -> dict[str, object]:
         """Return what the log tells of this attempt; durations are in milliseconds."""
         ended_ms = self._ended_or_now_ms
         return {
@@ -204,12 +206,12 @@
 
     def _await_head(self, connection: ReplicaConnection) -> ReplicaAnswer:
         identity = self.exchange.request.request_id
-        spelling = self.parts.spelling
+        header_codec = self.dependencies.header_codec
         while True:
             answer = ReplicaAnswer.await_head(
                 connection,
                 self.exchange.waiter,
-                lambda headers: spelling.answers_request(headers, identity),
+                lambda headers: header_codec.matches_request(headers, identity),
                 self.patience.next_look_ms,
             )
             if answer is not None:
@@ -218,25 +220,25 @@
                 silent = AspengateError(
                     ErrorKind.UPSTREAM_FAILED, "says nothing", where=connection.address
                 )
-                raise TryAnotherError(silent, sent=True, paid=True)
+                raise RetryableAttemptError(silent, sent=True, paid=True)
 
     def _check_standing(self) -> None:
-        """Decide again just before the first byte goes; raises TryAnotherError.
+        """Decide again just before the first byte goes; raises RetryableAttemptError.
 
         Since the choice the connection came up, which may take a second, and answers to other
         requests may have said that the replica leaves, wants rest or names a limit.
         """
-        standing = self.parts.registry.standing(self.view)
+        standing = self.dependencies.registry.standing(self.view)
         if standing is not Standing.OPEN:
             cause = AspengateError(ErrorKind.NO_UPSTREAM, standing.value, where=self.view.identity)
-            raise TryAnotherError(cause, sent=False)
-        if not self.permit.holds(self.parts.clock.monotonic_ms()):
+            raise RetryableAttemptError(cause, sent=False)
+        if not self.permit.holds(self.dependencies.clock.monotonic_ms()):
             cause = AspengateError(ErrorKind.AT_LIMIT, "no permit", where=self.view.identity)
-            raise TryAnotherError(cause, sent=False)
+            raise RetryableAttemptError(cause, sent=False)
 
     def _connect(self) -> ReplicaConnection:
         self.exchange.waiter.check_caller()
-        connection = self.parts.pool.take(self.life)
+        connection = self.dependencies.pool.take(self.life)
         self.reused = connection is not None
         if connection is None:
             connection = self._open()
@@ -248,15 +250,15 @@
         if remaining <= 0:
             raise AspengateError(ErrorKind.DEADLINE_EXCEEDED, "no time is left")
         try:
-            return self.parts.pool.open(self.view.replica.address, remaining)
+            return self.dependencies.pool.open(self.view.replica.address, remaining)
         except AspengateError as error:
-            self.view.unreached(self.parts.clock.monotonic_ms(), _UNREACHED_PAUSE_MS)
-            raise TryAnotherError(error, sent=False) from error
+            self.view.unreached(self.dependencies.clock.monotonic_ms(), _UNREACHED_PAUSE_MS)
+            raise RetryableAttemptError(error, sent=False) from error
 
     def _head(self, last_event_id: str) -> RequestHead:
         request = self.exchange.request
         account = self.exchange.account
-        headers = self.parts.spelling.replica_headers(
+        headers = self.dependencies.header_codec.replica_headers(
             request,
             identity=self.view.identity,
             account=account.name if account else "",
--- a/src/aspengate/gateway/_patience.py
+++ b/src/aspengate/gateway/_attempt_timeouts.py
@@ -28,7 +28,7 @@
     needs_silence: bool
 
 
-class Patience:
+class AttemptTimeouts:
     """Watches one attempt of a request that may be repeated; others are never given up.
 
     Giving up takes a repeat from ``may_repeat``, so that an overloaded service is not asked
--- a/src/aspengate/gateway/_daemon.py
+++ b/src/aspengate/gateway/_daemon.py
@@ -9,25 +9,25 @@
 from aspengate.connections import ConnectionPool
 from aspengate.crashes import replica_of
 from aspengate.gateway._application import ADMISSION, GatewayApplication
-from aspengate.gateway._attempt import AttemptParts
+from aspengate.gateway._attempt import AttemptDependencies
 from aspengate.gateway._crash_guard import CrashGuard
 from aspengate.gateway._dispatcher import Dispatcher
-from aspengate.gateway._limited_choice import LimitedChoice
 from aspengate.gateway._peer_services import GatewayPeerServices
 from aspengate.gateway._peering import Peering, Reply
 from aspengate.gateway._permit_asker import PermitAsker
 from aspengate.gateway._ports import Deployment
+from aspengate.gateway._rate_limited_selection import RateLimitedSelection
 from aspengate.gateway._ready import ReadyApplication
 from aspengate.gateway._replica_bounds import ReplicaBounds
 from aspengate.gateway._reporting import GatewayReport
+from aspengate.gateway._request_log import RequestLog
 from aspengate.gateway._selection import ReplicaSelection
 from aspengate.gateway._settings import GatewaySettings
 from aspengate.gateway._stop import StopPlan
 from aspengate.gateway._store_mirrors import StoreMirrors
 from aspengate.gateway._store_reader import StoreReader
-from aspengate.gateway._story import RequestLog
-from aspengate.gateway._suspension import SuspensionWatch
-from aspengate.gateway.filters import FilterParts, make_filters
+from aspengate.gateway._suspension import SuspensionDetector
+from aspengate.gateway.filters import FilterDependencies, make_filters
 from aspengate.gateway.prepaid import PeerLoans, RemoteWitness, TokenAccounts
 from aspengate.peers import (
     CeilingReply,
@@ -138,7 +138,7 @@
             ReadyApplication(self._is_ready), settings.ready_listen, _READY_THREADS, _SMALL_BODY
         )
         self.holder.on_change(self._apply_configuration)
-        self._suspension = SuspensionWatch(clock, counters, deployment.store.end_watches)
+        self._suspension = SuspensionDetector(clock, counters, deployment.store.end_watches)
         self._closing = threading.Event()
         self._ticker = lasting_thread(self._tick, "ticker", counters)
 
@@ -177,12 +177,12 @@
         self.settings = replace(settings, **kept)
         self.retries.policy = _retry_policy(self.settings)
         self.peering.seeds = self.settings.seeds
-        self.log.most_lines = self.settings.log_lines_per_second
+        self.log.max_lines_per_second = self.settings.log_lines_per_second
         log_change("gateway.reloaded", changed=changed, at_next_start=fixed)
 
     def gauges(self) -> dict[str, float]:
         """Return what holds at this moment, for scrapers."""
-        error = self.application.dispatcher.parts.chooser.estimate_error()
+        error = self.application.dispatcher.dependencies.chooser.estimate_error()
         return {
             "first_token_over_expected_median": error.median,
             "first_token_over_expected_p90": error.tail,
@@ -197,7 +197,7 @@
             "replicas_connected": self.mirrors.replicas.connected,
             "routers_known": self.peering.members.count,
             **{f"routers_build_{name}": n for name, n in self.peering.members.builds().items()},
-            "retry_routers": self.retries.routers,
+            "retry_routers": self.retries.router_count,
             "crash_records": len(self.crashes.records),
             "requests_in_progress": self.server.in_progress,
             "connections": len(self.server.active_channels),
@@ -268,7 +268,7 @@
 
     def _tick(self) -> None:
         while not self._closing.wait(_TICK_S):
-            self._suspension.look()
+            self._suspension.poll()
             self.tokens.tick()
             self.report.tell()
 
@@ -364,18 +364,20 @@
         )
 
     def _application(self) -> GatewayApplication:
-        spelling = self.deployment.spelling
+        header_codec = self.deployment.header_codec
         chooser = ReplicaChooser(self.parts, self.settings.failure_domain)
         return GatewayApplication(
-            spelling=spelling,
+            header_codec=header_codec,
             holder=self.holder,
-            admission=make_filters(ADMISSION, FilterParts(self.clock, self.counters, self.tokens)),
+            admission=make_filters(
+                ADMISSION, FilterDependencies(self.clock, self.counters, self.tokens)
+            ),
             dispatcher=Dispatcher(
-                AttemptParts(spelling, self.pool, self.clock, chooser, self.registry),
+                AttemptDependencies(header_codec, self.pool, self.clock, chooser, self.registry),
                 ReplicaSelection(
                     self.registry,
                     self.bounds,
-                    LimitedChoice(
+                    RateLimitedSelection(
                         self.bounds, self._make_asker(), chooser, self.clock, self.counters
                     ),
                     chooser,
@@ -420,7 +422,7 @@
 
     def _on_members(self, count: int) -> None:
         if self.peering.members.count_known:
-            self.retries.note_routers(count)
+            self.retries.set_router_count(count)
             self.bounds.note_routers(self.peering.members.names(), count)
         self.tokens.routers = count
 
--- a/src/aspengate/gateway/_dispatcher.py
+++ b/src/aspengate/gateway/_dispatcher.py
@@ -5,10 +5,10 @@
 from aspengate.connections import BrokenAnswerError, ReplicaAnswer
 from aspengate.errors import AspengateError, ErrorKind
 from aspengate.fleet_permits import Permit
-from aspengate.gateway._attempt import Attempt, AttemptParts, TryAnotherError
+from aspengate.gateway._attempt import Attempt, AttemptDependencies, RetryableAttemptError
+from aspengate.gateway._attempt_timeouts import AttemptTimeouts
 from aspengate.gateway._crash_guard import CrashGuard
 from aspengate.gateway._exchange import Exchange
-from aspengate.gateway._patience import Patience
 from aspengate.gateway._progress import Progress
 from aspengate.gateway._relay import AnswerRelay
 from aspengate.gateway._selection import ReplicaSelection
@@ -30,23 +30,23 @@
 
     def __init__(
         self,
-        parts: AttemptParts,
+        dependencies: AttemptDependencies,
         selection: ReplicaSelection,
         retries: SharedRetryBudget,
         crashes: CrashGuard,
         counters: Counters,
     ) -> None:
-        self.parts = parts
+        self.dependencies = dependencies
         self.selection = selection
-        self.registry = parts.registry
+        self.registry = dependencies.registry
         self.retries = retries
         self.crashes = crashes
         self.counters = counters
-        self.relay = AnswerRelay(parts.spelling, counters)
+        self.relay = AnswerRelay(dependencies.header_codec, counters)
 
     def run(self, exchange: Exchange, caller: CallerConnection, progress: Progress) -> None:
         """Answer the caller with a replica's answer; raises AspengateError where none serves."""
-        self.retries.note_request(exchange.known_service.name)
+        self.retries.record_request(exchange.known_service.name)
         progress.last_event_id = exchange.request.last_event_id
         self._admit(exchange, progress)
         answered = False
@@ -64,7 +64,7 @@
         Without it each try of a caller is a new request: 20 replicas ended in 40 s under one that
         came back twice a second (1 day, 4 routers).
         """
-        progress.crash_try = self.crashes.admit(exchange.content, progress.crash_try)
+        progress.crash_try = self.crashes.admit(exchange.fingerprint, progress.crash_try)
 
     def _try_replicas(
         self, exchange: Exchange, caller: CallerConnection, progress: Progress
@@ -75,9 +75,9 @@
                 self._serve(attempt, exchange, caller, progress)
                 # Counted as good, a failure at once drew 40 of 40 requests beside a sound replica.
                 attempt.end("answered", failed=progress.status in _SERVER_ERROR)
-                self.crashes.note_answered(exchange.content)
+                self.crashes.note_answered(exchange.fingerprint)
                 return
-            except TryAnotherError as failure:
+            except RetryableAttemptError as failure:
                 self._note_lost(attempt, failure.cause, exchange, progress)
                 attempt.end(str(failure), failed=failure.sent and not failure.misdirected)
                 progress.excluded.add(attempt.view.identity)
@@ -96,7 +96,7 @@
         if attempt.sent and isinstance(error, BrokenAnswerError):
             address = attempt.view.replica.address
             self.crashes.note_lost(
-                exchange.content, attempt.replica_run, address, progress.crash_try
+                exchange.fingerprint, attempt.replica_run, address, progress.crash_try
             )
         elif isinstance(error.__cause__, ConnectionRefusedError):
             self.crashes.note_refused(attempt.replica_run)
@@ -122,15 +122,17 @@
             attempts = progress.attempts + 1
             return self._may_repeat(exchange, progress, attempts=attempts, to_spare=True)
 
-        patience = Patience(exchange.known_route, candidate, self.parts.clock, may_repeat)
+        patience = AttemptTimeouts(
+            exchange.known_route, candidate, self.dependencies.clock, may_repeat
+        )
         replica_run = self.crashes.run_of(candidate.view.life)
-        attempt = Attempt(self.parts, exchange, candidate, patience, permit, replica_run)
+        attempt = Attempt(self.dependencies, exchange, candidate, patience, permit, replica_run)
         progress.made.append(attempt)
         return attempt
 
     def _await_permit(self, permit: Permit, exchange: Exchange) -> None:
         """Wait until a permit is ready; raises CallerGoneError where its caller leaves."""
-        if permit.ready_ms <= self.parts.clock.monotonic_ms():
+        if permit.ready_ms <= self.dependencies.clock.monotonic_ms():
             return
         self.counters.count("gateway.waited_for_permit")
         try:
@@ -149,18 +151,20 @@
         ran_before = progress.may_have_run
         answer = self._begin(attempt, exchange, progress)
         self._take_notice(attempt, answer)
-        if self.parts.spelling.is_not_executed(answer.status, answer.headers):
+        if self.dependencies.header_codec.is_not_executed(answer.status, answer.headers):
             progress.may_have_run = ran_before
             if progress.crash_try is not None:
                 progress.crash_try.sent = False
-            misdirected = self.parts.spelling.is_misdirected(answer.status)
+            misdirected = self.dependencies.header_codec.is_misdirected(answer.status)
             if misdirected:
                 self._note_replaced(attempt, progress)
             refused = AspengateError(ErrorKind.OVERLOADED, f"refused with {answer.status}")
-            raise TryAnotherError(refused, sent=True, misdirected=misdirected)
+            raise RetryableAttemptError(refused, sent=True, misdirected=misdirected)
         if answer.status not in _SERVER_ERROR:
             attempt.note_first()
-        if answer.status in _SUCCESS and not self.parts.spelling.is_signed(answer.headers):
+        if answer.status in _SUCCESS and not self.dependencies.header_codec.is_signed(
+            answer.headers
+        ):
             raise AspengateError(ErrorKind.UPSTREAM_FAILED, "an unsigned answer")
         if _is_event_stream(answer) and answer.status in _SUCCESS:
             self.relay.stream(attempt, answer, caller, progress)
@@ -170,7 +174,7 @@
         failed = answer.status in _SERVER_ERROR and exchange.known_route.repeatable
         if failed and self._may_repeat(exchange, progress, attempts=progress.attempts):
             cause = AspengateError(ErrorKind.UPSTREAM_FAILED, f"answered {answer.status}")
-            raise TryAnotherError(cause, sent=True, paid=True)
+            raise RetryableAttemptError(cause, sent=True, paid=True)
         self.relay.whole(attempt, answer, caller)
         progress.status = answer.status
 
@@ -180,15 +184,15 @@
         A 421 is the word of whoever is at its address now, and a success without a signature
         nobody's.
         """
-        spelling = self.parts.spelling
-        if spelling.is_misdirected(answer.status):
+        header_codec = self.dependencies.header_codec
+        if header_codec.is_misdirected(answer.status):
             return
-        if answer.status in _SUCCESS and not spelling.is_signed(answer.headers):
+        if answer.status in _SUCCESS and not header_codec.is_signed(answer.headers):
             return
         asks_for_rest = answer.status == HTTPStatus.SERVICE_UNAVAILABLE
         limit, unreadable = self._named_limit(answer)
         attempt.notice = ReplicaNotice(
-            leaving=spelling.says_leaving(answer.headers),
+            leaving=header_codec.is_leaving(answer.headers),
             rest_ms=answer.retry_after_ms if asks_for_rest else 0.0,
             limit=limit,
             unreadable=unreadable,
@@ -197,12 +201,12 @@
             self.registry.note_said(attempt.view, attempt.notice, attempt.sent_ms)
         if attempt.notice.leaving:
             # It closes them: a request that meets the close is lost.
-            self.parts.pool.forget(attempt.life)
+            self.dependencies.pool.forget(attempt.life)
 
     def _named_limit(self, answer: ReplicaAnswer) -> tuple[float | None, str]:
         """Return the limit that an answer names, or what it names instead of one."""
         try:
-            return self.parts.spelling.named_limit(answer.headers), ""
+            return self.dependencies.header_codec.rate_limit(answer.headers), ""
         except AspengateError as error:
             self.counters.count("replica_limits.unreadable")
             return None, error.message
@@ -219,10 +223,10 @@
 
     def _begin(self, attempt: Attempt, exchange: Exchange, progress: Progress) -> ReplicaAnswer:
         try:
-            return attempt.begin(progress.last_event_id)
+            return attempt.send(progress.last_event_id)
         except AspengateError as error:
             if error.kind is ErrorKind.UPSTREAM_FAILED and exchange.known_route.repeatable:
-                raise TryAnotherError(error, sent=True) from error
+                raise RetryableAttemptError(error, sent=True) from error
             raise
         finally:
             if attempt.sent:
@@ -232,7 +236,7 @@
                     progress.crash_try.sent = True
 
     def _check_another(
-        self, exchange: Exchange, progress: Progress, failure: TryAnotherError
+        self, exchange: Exchange, progress: Progress, failure: RetryableAttemptError
     ) -> None:
         """Raise the cause of a failure where no further attempt may be made."""
         if failure.sent:
@@ -257,7 +261,7 @@
     def _may_be_sent_again(self, exchange: Exchange, progress: Progress) -> bool:
         """Take a repeat for a request that the crash guard does not refuse, if there is one."""
         try:
-            self.crashes.check(exchange.content, progress.crash_try)
+            self.crashes.check(exchange.fingerprint, progress.crash_try)
         except AspengateError:
             return False
         return self._may_repeat(exchange, progress, attempts=progress.attempts)
@@ -278,7 +282,7 @@
         tried = progress.excluded | {attempt.view.identity for attempt in progress.made}
         if not self.selection.open(service, tried, to_spare=to_spare):
             return False
-        decision = self.retries.take(exchange.known_service.name)
+        decision = self.retries.acquire(exchange.known_service.name)
         progress.repeats.append(decision)
         if not decision.allowed:
             self.counters.count("gateway.retry_budget_spent")
--- a/src/aspengate/gateway/_exchange.py
+++ b/src/aspengate/gateway/_exchange.py
@@ -41,7 +41,7 @@
         return self.service
 
     @cached_property
-    def content(self) -> str:
+    def fingerprint(self) -> str:
         """The id that this request shares with those that are the same, come again."""
         account = self.account.name if self.account else ""
         return content_id(account, self.request.target, self.request.body)
--- a/src/aspengate/gateway/_ports.py
+++ b/src/aspengate/gateway/_ports.py
@@ -11,10 +11,10 @@
 Headers = tuple[tuple[str, str], ...]
 
 
-class RequestSpelling(Protocol):
+class HeaderCodec(Protocol):
     """Reads callers' requests and writes replicas' requests in the deployment's own headers."""
 
-    def caller_request(self, received: ReceivedRequest) -> CallerRequest:
+    def parse_request(self, received: ReceivedRequest) -> CallerRequest:
         """Return what a received request says; raises BAD_REQUEST."""
 
     def replica_headers(
@@ -29,10 +29,10 @@
     ) -> Headers:
         """Return the headers with which the replica ``identity`` gets a request."""
 
-    def answer_headers(self, headers: Headers) -> Headers:
+    def response_headers(self, headers: Headers) -> Headers:
         """Return the headers of a replica's answer that its caller is to get."""
 
-    def answers_request(self, headers: Headers, request_id: str) -> bool:
+    def matches_request(self, headers: Headers, request_id: str) -> bool:
         """Return whether an answer names the request as its own."""
 
     def is_not_executed(self, status: int, headers: Headers) -> bool:
@@ -44,10 +44,10 @@
     def is_signed(self, headers: Headers) -> bool:
         """Return whether an answer carries a replica's signature."""
 
-    def says_leaving(self, headers: Headers) -> bool:
+    def is_leaving(self, headers: Headers) -> bool:
         """Return whether an answer says that its replica is going to end."""
 
-    def named_limit(self, headers: Headers) -> float | None:
+    def rate_limit(self, headers: Headers) -> float | None:
         """Return how many requests a second an answer's replica takes from all routers together.
 
         None where it names no limit; raises BAD_REQUEST where what it names can't be read.
@@ -58,7 +58,7 @@
 
 
 class Deployment(Protocol):
-    """The place that a gateway runs in: its store, its records there, and its spelling.
+    """The place that a gateway runs in: its store, its records there, and its header codec.
 
     All that the operator writes lies below ``operator_prefix``, the configuration under
     ``configuration_key``; the replicas write below ``replica_prefix``.
@@ -73,7 +73,7 @@
         """The store that holds all that must last."""
 
     @property
-    def spelling(self) -> RequestSpelling:
+    def header_codec(self) -> HeaderCodec:
         """How requests and answers are spelt."""
 
     def read_configuration(self, item: StoreItem) -> FleetConfiguration:
--- a/src/aspengate/gateway/_limited_choice.py
+++ b/src/aspengate/gateway/_rate_limited_selection.py
@@ -23,7 +23,7 @@
 _LEAST_PER_SECOND = 0.05
 
 
-class LimitedChoice:
+class RateLimitedSelection:
     """Finds a permit for a request, of this router or of another one, at the cheapest replica.
 
     Load pattern: all replicas of a service are in need. Sent to any replica for which there is a
@@ -82,7 +82,7 @@
         waits += [self.asker.holders.ready_in_ms(view) for view in limited]
         ready_ms = min((each for each in waits if each is not None), default=1_000 / per_second)
         own_per_second = per_second / self.bounds.shares.count
-        back_ms = self.returns.back_in_ms(exchange.content, service, ready_ms, own_per_second)
+        back_ms = self.returns.back_in_ms(exchange.fingerprint, service, ready_ms, own_per_second)
         reason = (
             f"no permit: {len(limited)} of {ready} replicas name limits, {per_second:g} requests "
             f"a second together; the next permit in {ready_ms:.0f} ms"
--- a/src/aspengate/gateway/_relay.py
+++ b/src/aspengate/gateway/_relay.py
@@ -2,9 +2,9 @@
 
 from aspengate.connections import BrokenAnswerError, ReplicaAnswer
 from aspengate.errors import AspengateError, ErrorKind
-from aspengate.gateway._attempt import Attempt, TryAnotherError
+from aspengate.gateway._attempt import Attempt, RetryableAttemptError
 from aspengate.gateway._events import EventSplitter, StreamEvent
-from aspengate.gateway._ports import RequestSpelling
+from aspengate.gateway._ports import HeaderCodec
 from aspengate.gateway._progress import Progress
 from aspengate.serving import CallerConnection
 from aspengate.telemetry import Counters
@@ -15,14 +15,14 @@
 class AnswerRelay:
     """Relays whole answers and streams of events."""
 
-    def __init__(self, spelling: RequestSpelling, counters: Counters) -> None:
-        self.spelling = spelling
+    def __init__(self, header_codec: HeaderCodec, counters: Counters) -> None:
+        self.header_codec = header_codec
         self.counters = counters
 
     def whole(self, attempt: Attempt, answer: ReplicaAnswer, caller: CallerConnection) -> None:
         """Read an answer to its end, then send it, so that a broken one is never begun.
 
-        One that is very long is passed on as it comes. Raises TryAnotherError, or
+        One that is very long is passed on as it comes. Raises RetryableAttemptError, or
         AspengateError.
         """
         body = b""
@@ -41,7 +41,7 @@
             caller.write(body, waiter)
             caller.finish()
             return
-        headers = self.spelling.answer_headers(answer.headers)
+        headers = self.header_codec.response_headers(answer.headers)
         caller.answer(answer.status, answer.reason, headers, body)
 
     def stream(
@@ -72,7 +72,7 @@
         progress.whole = True
 
     def _next_data(self, attempt: Attempt, answer: ReplicaAnswer) -> bytes:
-        """Return more of a stream; raises TryAnotherError where its replica went silent."""
+        """Return more of a stream; raises RetryableAttemptError where its replica went silent."""
         while True:
             until_ms = attempt.patience.gap_until_ms()
             data = answer.next_data(attempt.exchange.waiter, until_ms)
@@ -80,7 +80,7 @@
                 return data
             if attempt.patience.gap_is_over():
                 silent = AspengateError(ErrorKind.UPSTREAM_FAILED, "went silent")
-                raise TryAnotherError(silent, sent=True, paid=True)
+                raise RetryableAttemptError(silent, sent=True, paid=True)
 
     def _pass_on(
         self,
@@ -95,14 +95,14 @@
             return
         self._begin(answer, caller)
         caller.write(event.data, attempt.exchange.waiter)
-        now_ms = attempt.parts.clock.monotonic_ms()
+        now_ms = attempt.dependencies.clock.monotonic_ms()
         attempt.note_event(now_ms)
         progress.note_event(event.identity, now_ms)
 
     def _begin(self, answer: ReplicaAnswer, caller: CallerConnection) -> None:
         """Send the head, once; a resumed stream keeps that of its first replica."""
         if not caller.started:
-            headers = self.spelling.answer_headers(answer.headers)
+            headers = self.header_codec.response_headers(answer.headers)
             caller.start(answer.status, answer.reason, headers)
 
 
@@ -110,7 +110,7 @@
     """Return what to raise after an answer broke off."""
     lost = error.kind is ErrorKind.UPSTREAM_FAILED
     if lost and resumable and attempt.exchange.known_route.repeatable:
-        return TryAnotherError(error, sent=True)
+        return RetryableAttemptError(error, sent=True)
     return error
 
 
--- a/src/aspengate/gateway/_reporting.py
+++ b/src/aspengate/gateway/_reporting.py
@@ -43,13 +43,13 @@
 
     def _tell_retries(self) -> None:
         """Tell the decisions on repeats: a killed router's requests never get their own lines."""
-        told_ms = self._retries.told_ms()
-        for tally in self._retries.tallies():
+        told_ms = self._retries.router_count_age_ms()
+        for tally in self._retries.drain_tallies():
             log_change(
                 "retry.decided",
                 service=tally.service,
                 allowed_since=tally.allowed,
                 refused_since=tally.refused,
                 routers_told_ms=None if told_ms is None else round(told_ms),
-                **tally.last.told(),
+                **tally.last.log_fields(),
             )
--- a/src/aspengate/gateway/_request.py
+++ b/src/aspengate/gateway/_request.py
@@ -8,16 +8,16 @@
     """The tokens of a request's prompt, and the most that may come out."""
 
     prompt: int
-    most_output: int
+    max_output: int
 
     @property
-    def most(self) -> int:
+    def max_total(self) -> int:
         """The most tokens that the request can use."""
-        return self.prompt + self.most_output
+        return self.prompt + self.max_output
 
 
 @dataclass(frozen=True)
-class PromptPart:
+class PromptSegment:
     """A part of a prompt that other prompts may share, with its length in tokens."""
 
     identity: str
@@ -43,7 +43,7 @@
     received_ms: float
     deadline_ms: float | None = None
     tokens: TokenBounds | None = None
-    parts: tuple[PromptPart, ...] = ()
+    prompt_segments: tuple[PromptSegment, ...] = ()
     model: str = ""
     last_event_id: str = ""
     length_hint: float | None = None
--- a/src/aspengate/gateway/_story.py
+++ b/src/aspengate/gateway/_request_log.py
@@ -11,14 +11,14 @@
     """Tells the end of each request, and counts it.
 
     A routine success is one line, like any other end, as long as there are fewer than
-    ``most_lines`` in a second; beyond that successes are only counted, and the count is in the
-    next line that is written.
+    ``max_lines_per_second``; beyond that successes are only counted, and the count is in the next
+    line that is written.
     """
 
-    def __init__(self, clock: Clock, counters: Counters, most_lines: int = 200) -> None:
+    def __init__(self, clock: Clock, counters: Counters, max_lines_per_second: int = 200) -> None:
         self.clock = clock
         self.counters = counters
-        self.most_lines = most_lines
+        self.max_lines_per_second = max_lines_per_second
         self._second = 0
         self._lines = 0
         self._folded = 0
@@ -51,8 +51,8 @@
             read_ms=round(progress.begun_ms - received_ms),
             admitted_ms=round(progress.admitted_ms - received_ms) if progress.admitted_ms else None,
             may_have_run=progress.may_have_run,
-            attempts=[attempt.told() for attempt in progress.made],
-            repeats=[decision.told() for decision in progress.repeats],
+            attempts=[attempt.log_fields() for attempt in progress.made],
+            repeats=[decision.log_fields() for decision in progress.repeats],
             folded=self._take_folded(),
             **_circumstances(exchange, progress, received_ms),
         )
@@ -62,7 +62,7 @@
         if second != self._second:
             self._second, self._lines = second, 0
         self._lines += 1
-        if self._lines <= self.most_lines:
+        if self._lines <= self.max_lines_per_second:
             return False
         self._folded += 1
         return True
@@ -83,8 +83,8 @@
         "route": exchange.route.name if exchange.route else "",
         "service": exchange.service.name if exchange.service else "",
         "account": exchange.account.name if exchange.account else "",
-        "content": exchange.content,
-        "tokens": exchange.request.tokens.most if exchange.request.tokens else 0,
+        "content": exchange.fingerprint,
+        "tokens": exchange.request.tokens.max_total if exchange.request.tokens else 0,
         "settled": progress.settled_tokens,
         "aim_ms": exchange.route.objective_ms if exchange.route else 0,
         "gap_aim_ms": exchange.route.longest_gap_ms if exchange.route else 0,
--- a/src/aspengate/gateway/_selection.py
+++ b/src/aspengate/gateway/_selection.py
@@ -8,7 +8,7 @@
 from aspengate.errors import AspengateError, ErrorKind
 from aspengate.fleet_permits import Permit
 from aspengate.gateway._exchange import Exchange
-from aspengate.gateway._limited_choice import LimitedChoice
+from aspengate.gateway._rate_limited_selection import RateLimitedSelection
 from aspengate.gateway._replica_bounds import ReplicaBounds
 from aspengate.peers import PlacedRequest, PlacementSink
 from aspengate.replicas import (
@@ -38,7 +38,7 @@
         self,
         registry: ReplicaRegistry,
         bounds: ReplicaBounds,
-        limited: LimitedChoice,
+        limited: RateLimitedSelection,
         chooser: ReplicaChooser,
         clock: Clock,
         counters: Counters,
@@ -131,11 +131,11 @@
     """Return the request's prompt; its last part belongs to the request or its session."""
     request = exchange.request
     gap_aim_ms = exchange.known_route.longest_gap_ms
-    if not request.parts:
+    if not request.prompt_segments:
         own = request.tokens.prompt if request.tokens else 0
         return PromptShape((), own, gap_aim_ms)
-    shared = tuple((part.identity, part.tokens) for part in request.parts[:-1])
-    return PromptShape(shared, request.parts[-1].tokens, gap_aim_ms)
+    shared = tuple((part.identity, part.tokens) for part in request.prompt_segments[:-1])
+    return PromptShape(shared, request.prompt_segments[-1].tokens, gap_aim_ms)
 
 
 def _placed(candidate: Candidate, prompt: PromptShape) -> PlacedRequest:
--- a/src/aspengate/gateway/_suspension.py
+++ b/src/aspengate/gateway/_suspension.py
@@ -10,7 +10,7 @@
 _LEAST_MS = 500.0
 
 
-class SuspensionWatch:
+class SuspensionDetector:
     """Compares the clock that counts suspensions with the one that does not, at each ``look``.
 
     Ages and deadlines go by the first one and need nothing else. But a watch that waits for the
@@ -24,7 +24,7 @@
         self._on_suspended = on_suspended
         self._known_ms = clock.suspended_ms()
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Look whether the machine was suspended since the last look."""
         total_ms = self._clock.suspended_ms()
         suspended_ms, self._known_ms = total_ms - self._known_ms, total_ms
--- a/src/aspengate/gateway/filters/__init__.py
+++ b/src/aspengate/gateway/filters/__init__.py
@@ -2,12 +2,12 @@
 
 from aspengate.gateway.filters._authenticate import Authenticate
 from aspengate.gateway.filters._find_route import FindRoute
-from aspengate.gateway.filters._registry import FilterParts, make_filters, register_filter
+from aspengate.gateway.filters._registry import FilterDependencies, make_filters, register_filter
 from aspengate.gateway.filters._reserve import Reserve, used_tokens
 
 __all__ = [
     "Authenticate",
-    "FilterParts",
+    "FilterDependencies",
     "FindRoute",
     "Reserve",
     "make_filters",
--- a/src/aspengate/gateway/filters/_authenticate.py
+++ b/src/aspengate/gateway/filters/_authenticate.py
@@ -4,15 +4,15 @@
 
 from aspengate.errors import AspengateError, ErrorKind
 from aspengate.gateway._exchange import Exchange, Outcome
-from aspengate.gateway.filters._registry import FilterParts, register_filter
+from aspengate.gateway.filters._registry import FilterDependencies, register_filter
 
 
 @register_filter("authenticate")
 class Authenticate:
     """Finds the account that holds the request's key, unless the route is public."""
 
-    def __init__(self, parts: FilterParts) -> None:
-        self.parts = parts
+    def __init__(self, dependencies: FilterDependencies) -> None:
+        self.dependencies = dependencies
 
     def apply(self, exchange: Exchange) -> Exchange:
         """Return the exchange with its account; raises UNAUTHENTICATED."""
--- a/src/aspengate/gateway/filters/_find_route.py
+++ b/src/aspengate/gateway/filters/_find_route.py
@@ -6,15 +6,15 @@
 from aspengate.configuration import Route
 from aspengate.errors import AspengateError, ErrorKind
 from aspengate.gateway._exchange import Exchange, Outcome
-from aspengate.gateway.filters._registry import FilterParts, register_filter
+from aspengate.gateway.filters._registry import FilterDependencies, register_filter
 
 
 @register_filter("route")
 class FindRoute:
     """Finds the route by host and path, and picks one of its services by weight."""
 
-    def __init__(self, parts: FilterParts) -> None:
-        self.parts = parts
+    def __init__(self, dependencies: FilterDependencies) -> None:
+        self.dependencies = dependencies
 
     def apply(self, exchange: Exchange) -> Exchange:
         """Return the exchange with route and service; raises NOT_FOUND."""
--- a/src/aspengate/gateway/filters/_registry.py
+++ b/src/aspengate/gateway/filters/_registry.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True)
-class FilterParts:
+class FilterDependencies:
     """The services that filters use."""
 
     clock: Clock
@@ -19,7 +19,7 @@
     tokens: TokenAccounts
 
 
-FilterFactory = Callable[[FilterParts], Filter]
+FilterFactory = Callable[[FilterDependencies], Filter]
 _FACTORIES: dict[str, FilterFactory] = {}
 _Factory = TypeVar("_Factory", bound=FilterFactory)
 
@@ -34,6 +34,6 @@
     return register
 
 
-def make_filters(names: Iterable[str], parts: FilterParts) -> tuple[Filter, ...]:
+def make_filters(names: Iterable[str], dependencies: FilterDependencies) -> tuple[Filter, ...]:
     """Return the filters with these names, in order."""
-    return tuple(_FACTORIES[name](parts) for name in names)
+    return tuple(_FACTORIES[name](dependencies) for name in names)
--- a/src/aspengate/gateway/filters/_reserve.py
+++ b/src/aspengate/gateway/filters/_reserve.py
@@ -1,28 +1,30 @@
 """Whether the account's prepaid tokens cover the request at its most."""
 
 from aspengate.gateway._exchange import Exchange, Outcome
-from aspengate.gateway.filters._registry import FilterParts, register_filter
+from aspengate.gateway.filters._registry import FilterDependencies, register_filter
 
 
 @register_filter("reserve")
 class Reserve:
     """Sets the most that a request can use aside, and settles what it used."""
 
-    def __init__(self, parts: FilterParts) -> None:
-        self.parts = parts
+    def __init__(self, dependencies: FilterDependencies) -> None:
+        self.dependencies = dependencies
 
     def apply(self, exchange: Exchange) -> Exchange:
         """Return the exchange; raises BUDGET_EXHAUSTED or BUDGET_UNAVAILABLE."""
         amount = _most(exchange)
         if amount and exchange.account is not None:
-            self.parts.tokens.reserve(exchange.account, amount, exchange.waiter)
+            self.dependencies.tokens.reserve(exchange.account, amount, exchange.waiter)
         return exchange
 
     def finish(self, exchange: Exchange, outcome: Outcome) -> None:
         """Settle the exact use where the answer was whole, the most where that is not known."""
         amount = _most(exchange)
         if amount and exchange.account is not None:
-            self.parts.tokens.settle(exchange.account, amount, used_tokens(exchange, outcome))
+            self.dependencies.tokens.settle(
+                exchange.account, amount, used_tokens(exchange, outcome)
+            )
 
 
 def used_tokens(exchange: Exchange, outcome: Outcome) -> int:
@@ -40,4 +42,4 @@
     account = exchange.account
     if account is None or account.prepaid_tokens is None or exchange.request.tokens is None:
         return 0
-    return exchange.request.tokens.most
+    return exchange.request.tokens.max_total
--- a/src/aspengate/platform/_deployment.py
+++ b/src/aspengate/platform/_deployment.py
@@ -26,7 +26,7 @@
 
     def __init__(self, address: str, timeout_ms: float, clock: Clock) -> None:
         self.store: KeyValueStore = PlatformStore(address, timeout_ms, clock)
-        self.spelling = PlatformSpelling()
+        self.header_codec = PlatformSpelling()
 
     def read_configuration(self, item: StoreItem) -> FleetConfiguration:
         """Return the configuration that a store item holds; raises BAD_REQUEST."""
--- a/src/aspengate/platform/_headers.py
+++ b/src/aspengate/platform/_headers.py
@@ -5,7 +5,7 @@
 
 from aspengate.connections import decimal_number
 from aspengate.errors import AspengateError, ErrorKind
-from aspengate.gateway import CallerRequest, PromptPart, TokenBounds
+from aspengate.gateway import CallerRequest, PromptSegment, TokenBounds
 from aspengate.serving import ReceivedRequest
 
 Headers = tuple[tuple[str, str], ...]
@@ -58,7 +58,7 @@
 class PlatformSpelling:
     """Reads and writes the headers of the platform's requests and answers."""
 
-    def caller_request(self, received: ReceivedRequest) -> CallerRequest:
+    def parse_request(self, received: ReceivedRequest) -> CallerRequest:
         """Return a received request with what its headers say; raises BAD_REQUEST.
 
         What stands only once in a proper request is refused where it stands twice.
@@ -82,7 +82,7 @@
             received_ms=received.received_ms,
             deadline_ms=None if deadline is None else received.received_ms + deadline,
             tokens=_token_bounds(received.headers),
-            parts=_parts(received.headers),
+            prompt_segments=_parts(received.headers),
             model=_single(received.headers, _MODEL),
             last_event_id=_single(received.headers, _LAST_EVENT),
             length_hint=_number(received.headers, _LENGTH_HINT),
@@ -112,13 +112,13 @@
             headers.append(("Content-Length", str(len(request.body))))
         return tuple(headers)
 
-    def answer_headers(self, headers: Headers) -> Headers:
+    def response_headers(self, headers: Headers) -> Headers:
         """Return the headers of a replica's answer that its caller is to get."""
         return tuple(
             (name, value) for name, value in headers if name.lower() not in _CONNECTION_HEADERS
         )
 
-    def answers_request(self, headers: Headers, request_id: str) -> bool:
+    def matches_request(self, headers: Headers, request_id: str) -> bool:
         """Return whether an answer's headers name the request."""
         return _all(headers, _REQUEST_ID) == [request_id]
 
@@ -134,11 +134,11 @@
         """Return whether an answer carries a replica's signature."""
         return bool(_all(headers, "x-server-stamp"))
 
-    def says_leaving(self, headers: Headers) -> bool:
+    def is_leaving(self, headers: Headers) -> bool:
         """Return whether an answer says that its replica is going to end."""
         return "1" in _all(headers, "server-leaving")
 
-    def named_limit(self, headers: Headers) -> float | None:
+    def rate_limit(self, headers: Headers) -> float | None:
         """Return how many requests a second an answer's replica takes; raises BAD_REQUEST."""
         if not _all(headers, _LIMIT):
             return None
@@ -208,7 +208,7 @@
         raise AspengateError(ErrorKind.BAD_REQUEST, f"{text!r}", where=_TOKENS) from None
 
 
-def _parts(headers: Headers) -> tuple[PromptPart, ...]:
+def _parts(headers: Headers) -> tuple[PromptSegment, ...]:
     text = _single(headers, _PARTS)
     if not text:
         return ()
@@ -216,7 +216,7 @@
     for part in text.split(","):
         identity, _, tokens = part.strip().partition(":")
         try:
-            parts.append(PromptPart(identity, _whole(tokens)))
+            parts.append(PromptSegment(identity, _whole(tokens)))
         except ValueError:
             raise AspengateError(ErrorKind.BAD_REQUEST, f"{part!r}", where=_PARTS) from None
     return tuple(parts)
--- a/src/aspengate/retries/_decision.py
+++ b/src/aspengate/retries/_decision.py
@@ -13,19 +13,19 @@
     """
 
     allowed: bool
-    repeats: int
+    retries: int
     share: float
     requests: int
-    routers: int
+    router_count: int
 
-    def told(self) -> dict[str, object]:
+    def log_fields(self) -> dict[str, object]:
         """Return what the log tells of this decision."""
         return {
             "allowed": self.allowed,
-            "repeats": self.repeats,
+            "repeats": self.retries,
             "share": round(self.share, 1),
             "requests": self.requests,
-            "routers": self.routers,
+            "routers": self.router_count,
         }
 
 
--- a/src/aspengate/retries/_shared_budget.py
+++ b/src/aspengate/retries/_shared_budget.py
@@ -75,33 +75,33 @@
         self._lock = threading.Lock()
 
     @property
-    def routers(self) -> int:
+    def router_count(self) -> int:
         """How many routers share the budget now; 0 where that is not known."""
         return self.fleet.most(self.policy.window_ms)
 
-    def note_routers(self, routers: int) -> None:
+    def set_router_count(self, routers: int) -> None:
         """Take over how many routers may be alive, this one among them."""
         with self._lock:
             self.fleet.note(routers, self.policy.window_ms)
 
-    def told_ms(self) -> float | None:
+    def router_count_age_ms(self) -> float | None:
         """Return how long ago the number of routers was told, in ms; None if it never was."""
         return self.fleet.told_ms()
 
-    def note_request(self, service: str) -> None:
+    def record_request(self, service: str) -> None:
         """Count a caller's request for a service."""
         with self._lock:
             window = self._current(service)
             window.requests.append(self._clock.monotonic_ms())
 
-    def take(self, service: str) -> RetryDecision:
+    def acquire(self, service: str) -> RetryDecision:
         """Decide on one more repeat; one that is allowed counts at least until it is settled."""
         with self._lock:
             window = self._current(service)
             share = self._share(len(window.requests))
             allowed = window.repeats + 1 <= share
             decision = RetryDecision(
-                allowed, window.repeats, share, len(window.requests), self.routers
+                allowed, window.repeats, share, len(window.requests), self.router_count
             )
             window.under_way += allowed
             window.note(decision)
@@ -121,7 +121,7 @@
             for _ in range(min(allowed, arrived)):
                 bisect.insort(window.arrived, arrived_ms)
 
-    def tallies(self) -> list[RetryTally]:
+    def drain_tallies(self) -> list[RetryTally]:
         """Return the decisions by service since the last call, of services that had any."""
         with self._lock:
             found = []
@@ -140,7 +140,7 @@
         known_ms = self.fleet.known_ms()
         if known_ms is None or known_ms < self.policy.window_ms + self.policy.start_ms:
             return 0.0
-        slack = _SLACK_PART * self.policy.slack / self.routers
+        slack = _SLACK_PART * self.policy.slack / self.router_count
         return _RATIO_PART * self.policy.ratio * requests + slack
 
     def _current(self, service: str) -> _Window:
