--- a/features/foreign_entries.feature
+++ b/features/foreign_entries.feature
@@ -1,32 +1,32 @@
-Feature: Entries of other writers name no replica to use, and do no other harm
+Feature: Unusable store entries of other writers are skipped and do no other harm
 
-  # An entry of 200,000 nested brackets in the list of replicas ended the thread that follows it:
-  #   Exception in thread mirror-servers/: RecursionError: maximum recursion depth exceeded
-  # and the router heard of no replica again. Of 25 others 13 were listed as ready, among them ones
-  # without slots or state, with port 99999, -1 slots, or cold for 1e300 ms.
-  Scenario: A gateway passes over what it can't use, and goes on hearing of replicas
+  # An entry of 200,000 nested brackets in the list of replicas raised a RecursionError in the thread
+  # mirror-servers/, which ended, and the router received no further replicas. Of 25 other unusable
+  # entries 13 were listed as ready, among them entries without slots or state, with port 99999,
+  # with -1 slots, or cold for 1e300 ms.
+  Scenario: A gateway skips unusable entries and continues to receive replicas
     Given a gateway before one replica of each service
-    When entries of other writers come into the list of replicas
-    Then none of them is listed, and a replica that comes later is
+    When other writers add unusable entries to the list of replicas
+    Then none of them is listed, and a replica that registers later is
 
-  Scenario: Any bytes are read as a replica that can be used, or not at all
-    Given any bytes, any JSON and any good entry with changes
-    Then each is read as a replica with an address, slots and bounded times, or refused with its key
+  Scenario: Any bytes are either parsed as a usable replica or rejected
+    Given any bytes, any JSON and any valid entry with modifications
+    Then each is parsed as a replica with an address, slots and bounded times, or rejected with its key
 
-  Scenario: A fault while changes are taken over does not end the following
-    Given a mirror whose owner fails at the first change
-    When two changes come
-    Then the owner gets the second one, and a line tells of the fault
+  Scenario: An exception in the change callback does not stop a mirror
+    Given a mirror whose callback raises an exception at the first change
+    When two changes arrive
+    Then the callback receives the second one, and the exception is counted
 
-  Scenario: A good entry that another writer spoils takes its replica out
+  Scenario: A replica whose entry another writer corrupts is no longer used
     Given a gateway before two replicas of each service
     When another writer overwrites the entry of one of them
-    Then that one gets nothing more, and one line tells of the entry
+    Then that replica gets no more requests, and one log line reports the entry
 
-  Scenario: A thread that meets a fault nobody foresaw goes on
-    Given a thread whose loop fails twice
-    Then it goes on after each fault, which a line and a counter tell
+  Scenario: A thread continues after an unexpected exception
+    Given a thread whose loop raises an exception twice
+    Then it continues after each exception, and both are counted
 
-  Scenario: Whatever follows, leads or settles runs on such a thread
+  Scenario: All background loops of gateway, peers and store run on such threads
     When the sources of gateway, peers and store are searched for threads
-    Then all of them go on after a fault
+    Then all of them continue after an exception
--- a/features/gateway_configuration.feature
+++ b/features/gateway_configuration.feature
@@ -49,10 +49,10 @@
 
   Scenario: A router that lost the store makes sure of the next watch before it trusts it
     Given a mirror of a store that fails once
-    When it follows the store
-    Then watches are short ones until one is answered, and the mirror is connected after it
+    When the mirror watches the store
+    Then watches are short until one is answered, and then the mirror is connected
 
   Scenario: Connections notice another side that has gone silent
     Given a stand-in store and a stand-in replica
     When connections to both are opened
-    Then the system gives up on both after seconds, with and without bytes under way
+    Then the system drops both within seconds, with and without data in flight
--- a/features/grouped_writes.feature
+++ b/features/grouped_writes.feature
@@ -1,31 +1,31 @@
-Feature: Writes of accounts that can wait are made together
+Feature: Non-urgent writes of accounts are grouped into one call
 
-  Scenario: Writes of one sweep are one call
+  Scenario: The writes of one sweep are made in one call
     Given a store that counts its calls
-    When 8 writes are expected and come at about the same time
-    Then all are done by 1 call
+    When 8 writes are expected and arrive at about the same time
+    Then all succeed with 1 call
 
-  Scenario: An urgent write waits for none that is only expected
+  Scenario: An urgent write does not wait for expected writes
     Given a store that counts its calls
-    When 8 writes are expected and only an urgent one comes
-    Then it is done before the time to gather is over
+    When 8 writes are expected and only an urgent one arrives
+    Then it is made before the group window ends
 
-  Scenario: A write whose condition fails ends alone
+  Scenario: A write whose condition fails does not affect the others
     Given a store that counts its calls
-    When 3 writes are made together and one item has changed before
-    Then that one fails with the present item, and the others are done
+    When 3 writes are grouped and one item has changed before
+    Then that write fails with the current item, and the others succeed
 
-  Scenario: A lost answer leaves all writes of the call unknown
-    Given a store that loses its answer
-    When 3 writes are expected and come at about the same time
-    Then all end with an unknown outcome
+  Scenario: A lost response leaves the outcome of all writes in the call unknown
+    Given a store that loses its response
+    When 3 writes are expected and arrive at about the same time
+    Then all fail with an unknown outcome
 
-  Scenario: More writes than a call takes are made by several
+  Scenario: More writes than fit into one call are split into several
     Given a store that counts its calls
-    When 20 writes are expected and come at about the same time
-    Then all are done by 2 calls
+    When 20 writes are expected and arrive at about the same time
+    Then all succeed with 2 calls
 
-  Scenario: A fault in the call ends all writes of it
-    Given a store whose call fails by a fault of its client
-    When 3 writes are expected and come at about the same time
-    Then none is left waiting
+  Scenario: An unexpected exception in a call fails all its writes
+    Given a store whose client raises an unexpected exception
+    When 3 writes are expected and arrive at about the same time
+    Then no writer is left waiting
--- a/features/leadership.feature
+++ b/features/leadership.feature
@@ -70,25 +70,25 @@
     Then the seed was told of it six times or more
 
   Scenario: A router that missed something fetches what has changed, and not the whole list
-    Given a router that knows a list of 3,000 replicas, and one that missed the last changes
-    When the second one asks the first for what it missed
-    Then it gets the changes alone, and knows the same list
+    Given a router with a list of 3,000 replicas, and a second one that missed the last changes
+    When the second one requests the missed changes from the first
+    Then it receives only the changes, and has the same list
 
   Scenario: A router that missed more than is remembered fetches the whole list
-    Given a router that knows a list of 3,000 replicas, and one that knows nothing
-    When the second one asks the first for what it missed
-    Then it gets the whole list, and knows the same list
+    Given a router with a list of 3,000 replicas, and a second one without any items
+    When the second one requests the missed changes from the first
+    Then it receives the whole list, and has the same list
 
   Scenario: Changes of many replicas are told in several messages that leave no gap
-    Given a router that knows a list of 3,000 replicas, and one that missed nothing
-    When 1,000 replicas change at once and the first one tells of it
-    Then every message fits into a datagram, and the second one knows the same list
-    And a router that missed one of the messages notices it
+    Given a router with a list of 3,000 replicas, and a second one that is up to date
+    When 1,000 replicas change at once and the first one sends the changes
+    Then every message fits into a datagram, and the second one has the same list
+    And a router that missed one of the messages detects the gap
 
   Scenario Outline: A whole list is encoded once for all that ask together
-    Given a router that knows a list as of history <era> of the store
-    When two that know nothing ask it for the list
-    Then both get the same bytes, which were encoded once
+    Given a router with a list from era <era> of the store
+    When two routers without any items request the list
+    Then both receive the same bytes, which were encoded once
 
     Examples:
       | era |
--- a/features/outages.feature
+++ b/features/outages.feature
@@ -1,34 +1,34 @@
-Feature: The reserve follows the outages of the store that were seen
+Feature: Token reserves are sized by the observed outages of the store
 
-  Scenario: An outage is as long as the time without an answer, and the silence before it showed
+  Scenario: The length of an outage includes the time before it was detected
     Given a router that has seen no outage of the store
-    When the store answers nobody for 5 seconds and is back
-    Then an outage of 8 seconds is kept for, from a full calm of 10 seconds on
+    When the store answers no router for 5 seconds and then recovers
+    Then the reserve covers an outage of 8 seconds, in full after 10 seconds of calm
 
-  Scenario: A lost answer is no outage
+  Scenario: A lost response is not an outage
     Given a router that has seen no outage of the store
-    When the store answers nobody for 1 seconds and is back
-    Then no outage is kept for
+    When the store answers no router for 1 seconds and then recovers
+    Then the reserve covers no outage
 
-  Scenario: The calm is the shortest one that was seen
+  Scenario: Readiness is based on the shortest time between two outages
     Given a router that has seen no outage of the store
-    When the store answers nobody for 5 seconds and is back
-    And 4 seconds later it answers nobody for 5 seconds and is back
+    When the store answers no router for 5 seconds and then recovers
+    And 4 seconds later it answers no router for 5 seconds and then recovers
     And 2 seconds have passed
-    Then the reserve is half of what it will be
+    Then the reserve is at half its full size
 
-  Scenario Outline: Reserves after an outage are bounded, and grow again while none is expected
-    Given an account of 1000000 tokens of which <unheld> are held by nobody, and 20000 used a second
-    When an outage of 8 seconds was seen <passed> seconds ago
-    Then the reserve is between <least> and <most> tokens
+  Scenario Outline: Reserves after an outage are bounded, and grow back until the next one is expected
+    Given an account of 1000000 tokens of which <unheld> are unheld, and 20000 are used per second
+    When an outage of 8 seconds ended <passed> seconds ago
+    Then the reserve is between <min> and <max> tokens
 
     Examples:
-      | unheld | passed | least  | most   |
+      | unheld | passed | min    | max    |
       | 900000 | 10     | 200000 | 300000 |
       | 300000 | 10     | 170000 | 180000 |
       | 300000 | 2      | 30000  | 40000  |
       | 20000  | 10     | 10000  | 12000  |
 
-  Scenario: Never more than a part of what nobody holds, whatever was seen
+  Scenario: Reserves never exceed a fixed share of the unheld tokens
     When reserves are sized for any demand, holding and outage
-    Then none is negative or above that part
+    Then none is negative or exceeds that share
--- a/features/steps/grouped_writes_steps.py
+++ b/features/steps/grouped_writes_steps.py
@@ -1,4 +1,4 @@
-"""Steps on writes that are made together."""
+"""Steps on writes that are grouped into one store call."""
 
 import threading
 import time
@@ -9,14 +9,14 @@
 from aspengate.errors import AspengateError, ErrorKind
 from aspengate.store import ConditionFailedError, GroupedWrites, Put, StoreItem
 
-LONG_S = 30.0
+LONG_WINDOW_S = 30.0
 
 
 class CountingStore:
-    """Items by key; each write is one call."""
+    """Holds items by key, and counts the calls of ``transact``."""
 
-    def __init__(self, loses=False):
-        self.loses = loses
+    def __init__(self, loses_response=False):
+        self.loses_response = loses_response
         self.items = {}
         self.revision = 0
         self.calls = 0
@@ -25,7 +25,7 @@
     def transact(self, conditions, puts):
         with self.lock:
             self.calls += 1
-            if self.loses:
+            if self.loses_response:
                 raise AspengateError(ErrorKind.OUTCOME_UNKNOWN, "lost")
             present = {key: self.items[key] for key in conditions if key in self.items}
             for key, revision in conditions.items():
@@ -38,28 +38,28 @@
 
 
 @given("a store that counts its calls")
-def counting(context):
+def counting_store(context):
     context.store = CountingStore()
 
 
-@given("a store that loses its answer")
-def losing(context):
-    context.store = CountingStore(loses=True)
+@given("a store that loses its response")
+def losing_store(context):
+    context.store = CountingStore(loses_response=True)
 
 
-@given("a store whose call fails by a fault of its client")
-def faulty(context):
+@given("a store whose client raises an unexpected exception")
+def raising_client(context):
     context.store = CountingStore()
     context.store.transact = None
 
 
-@then("none is left waiting")
-def none_waiting(context):
+@then("no writer is left waiting")
+def no_writer_waiting(context):
     assert len(context.results) == 3 and all(context.results), context.results
 
 
 def write_all(context, count):
-    """Make writes on threads that begin together, as those of a sweep do."""
+    """Make writes on threads that start at the same time, as the writes of a sweep do."""
     writes = GroupedWrites(context.store)
     writes.expect(count)
 
@@ -75,59 +75,59 @@
         context.results = list(pool.map(write, range(count)))
 
 
-@when("{count:d} writes are expected and come at about the same time")
-def together(context, count):
+@when("{count:d} writes are expected and arrive at about the same time")
+def write_expected(context, count):
     import aspengate.store._grouped as grouped
 
-    usual, grouped._GROUP_WINDOW_S = grouped._GROUP_WINDOW_S, LONG_S
+    default, grouped._GROUP_WINDOW_S = grouped._GROUP_WINDOW_S, LONG_WINDOW_S
     try:
         write_all(context, count)
     finally:
-        grouped._GROUP_WINDOW_S = usual
+        grouped._GROUP_WINDOW_S = default
 
 
-@then("all are done by {calls:d} call")
-@then("all are done by {calls:d} calls")
-def done_by(context, calls):
+@then("all succeed with {calls:d} call")
+@then("all succeed with {calls:d} calls")
+def succeed_with_calls(context, calls):
     assert all(isinstance(result, int) for result in context.results), context.results
     assert context.store.calls == calls, context.store.calls
 
 
-@when("{count:d} writes are expected and only an urgent one comes")
-def only_urgent(context, count):
+@when("{count:d} writes are expected and only an urgent one arrives")
+def only_urgent_arrives(context, count):
     import aspengate.store._grouped as grouped
 
-    usual, grouped._GROUP_WINDOW_S = grouped._GROUP_WINDOW_S, LONG_S
+    default, grouped._GROUP_WINDOW_S = grouped._GROUP_WINDOW_S, LONG_WINDOW_S
     try:
         writes = GroupedWrites(context.store)
         writes.expect(count)
-        begun = time.monotonic()
+        started = time.monotonic()
         writes.write(Put("key-1", b"new"), 0, urgent=True)
-        context.took_s = time.monotonic() - begun
+        context.duration_s = time.monotonic() - started
     finally:
-        grouped._GROUP_WINDOW_S = usual
+        grouped._GROUP_WINDOW_S = default
 
 
-@then("it is done before the time to gather is over")
-def done_before(context):
-    assert context.took_s < LONG_S / 2, context.took_s
+@then("it is made before the group window ends")
+def made_before_window_ends(context):
+    assert context.duration_s < LONG_WINDOW_S / 2, context.duration_s
 
 
-@when("{count:d} writes are made together and one item has changed before")
-def one_changed(context, count):
+@when("{count:d} writes are grouped and one item has changed before")
+def one_item_changed(context, count):
     context.store.items["key-1"] = StoreItem("key-1", b"other", 7)
-    together(context, count)
+    write_expected(context, count)
 
 
-@then("that one fails with the present item, and the others are done")
-def one_fails(context):
+@then("that write fails with the current item, and the others succeed")
+def one_fails_alone(context):
     failed = context.results[1]
     assert isinstance(failed, ConditionFailedError), failed
     assert failed.items["key-1"].value == b"other"
     assert [context.store.items[f"key-{number}"].value for number in (0, 2)] == [b"new"] * 2
 
 
-@then("all end with an unknown outcome")
-def all_unknown(context):
+@then("all fail with an unknown outcome")
+def all_outcomes_unknown(context):
     kinds = {getattr(result, "kind", None) for result in context.results}
     assert kinds == {ErrorKind.OUTCOME_UNKNOWN}, context.results
--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -11,7 +11,7 @@
 from aspengate.replicas import PartMemory, ReplicaRegistry
 from aspengate.store import StoreItem
 from crashes_steps import ask
-from foreign_entries_steps import GOOD
+from foreign_entries_steps import VALID_ENTRY
 from gateway_world import start
 
 BORN = 1_790_000_000_000
@@ -19,7 +19,7 @@
 
 
 def record(**fields):
-    data = json.dumps({**GOOD, **fields}).encode()
+    data = json.dumps({**VALID_ENTRY, **fields}).encode()
     deployment = PlatformDeployment("127.0.0.1:1", 100.0, ManualClock())
     return deployment.read_replica(StoreItem("servers/i-1", data, 1))
 
--- a/features/steps/mirror_steps.py
+++ b/features/steps/mirror_steps.py
@@ -1,4 +1,4 @@
-"""Steps on following the store without a router around it."""
+"""Steps on a store mirror on its own, and on the TCP settings of connections."""
 
 import socket
 import threading
@@ -18,23 +18,23 @@
 
 
 class FailingStore:
-    """Lists, fails the first watch, and answers the later ones when they are let through."""
+    """Answers lists, fails the first watch, and holds long watches until ``released`` is set."""
 
     era = StoreEra()
 
     def __init__(self):
-        self.waits = []
-        self.let_through = threading.Event()
+        self.watch_waits_ms = []
+        self.released = threading.Event()
 
     def list_items(self, prefix):
         return Snapshot((), 1)
 
     def changes(self, prefix, since, wait_ms):
-        self.waits.append(wait_ms)
-        if len(self.waits) == 1:
+        self.watch_waits_ms.append(wait_ms)
+        if len(self.watch_waits_ms) == 1:
             raise AspengateError(ErrorKind.STORE_UNAVAILABLE, "down")
         if wait_ms >= WATCH_MS:
-            self.let_through.wait()
+            self.released.wait()
         return Changes((), (), since)
 
 
@@ -44,25 +44,25 @@
     context.mirror = StoreMirror(
         context.store, "a/", SystemClock(), NullCounters(), lambda state: None, WATCH_MS
     )
-    context.cleanup.callback(context.store.let_through.set)
+    context.cleanup.callback(context.store.released.set)
     context.cleanup.callback(context.mirror.close)
 
 
-@when("it follows the store")
-def follow(context):
+@when("the mirror watches the store")
+def watch_store(context):
     context.mirror.start()
-    assert eventually(lambda: len(context.store.waits) >= 3)
+    assert eventually(lambda: len(context.store.watch_waits_ms) >= 3)
 
 
-@then("watches are short ones until one is answered, and the mirror is connected after it")
-def short_watch(context):
-    first, second, third = context.store.waits[:3]
-    assert first < 1_000 and second < 1_000 and third == WATCH_MS, context.store.waits
+@then("watches are short until one is answered, and then the mirror is connected")
+def watches_short_until_answered(context):
+    first, second, third = context.store.watch_waits_ms[:3]
+    assert first < 1_000 and second < 1_000 and third == WATCH_MS, context.store.watch_waits_ms
     assert context.mirror.connected
 
 
 @given("a stand-in store and a stand-in replica")
-def standins(context):
+def stand_ins(context):
     context.store = StoreStandIn()
     context.cleanup.callback(context.store.close)
     context.replica = ReplicaStandIn(context.store, "portal")
@@ -79,8 +79,8 @@
     context.sockets = [store.idle_sockets()[0], replica.socket]
 
 
-@then("the system gives up on both after seconds, with and without bytes under way")
-def gives_up(context):
+@then("the system drops both within seconds, with and without data in flight")
+def unresponsive_connections_dropped(context):
     for each in context.sockets:
         user_timeout = each.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
         assert 0 < user_timeout <= 3_000, user_timeout
--- a/features/steps/outages_steps.py
+++ b/features/steps/outages_steps.py
@@ -1,4 +1,4 @@
-"""Steps on outages of the store and the reserve that is kept for them."""
+"""Steps on outages of the store and the token reserves that cover them."""
 
 from behave import given, then, when
 from hypothesis import given as given_any
@@ -9,69 +9,69 @@
 from aspengate.clock import ManualClock
 from aspengate.store import OutageHistory
 
-BEAT_MS = 250
+INTERVAL_MS = 250
 
 
-def beats(context, seconds, *, answered):
-    for _ in range(int(seconds * 1_000 / BEAT_MS)):
+def record_for(context, seconds, *, answered):
+    for _ in range(int(seconds * 1_000 / INTERVAL_MS)):
         context.history.record(answered=answered)
-        context.clock.advance(BEAT_MS)
+        context.clock.advance(INTERVAL_MS)
 
 
 @given("a router that has seen no outage of the store")
-def none_seen(context):
+def no_outage_seen(context):
     context.clock = ManualClock()
     context.history = OutageHistory(context.clock)
-    beats(context, 20, answered=True)
+    record_for(context, 20, answered=True)
 
 
-@when("the store answers nobody for {seconds:d} seconds and is back")
+@when("the store answers no router for {seconds:d} seconds and then recovers")
 def outage(context, seconds):
-    beats(context, seconds, answered=False)
+    record_for(context, seconds, answered=False)
     context.history.record(answered=True)
 
 
-@when("{pause:d} seconds later it answers nobody for {seconds:d} seconds and is back")
-def another(context, pause, seconds):
-    beats(context, pause, answered=True)
+@when("{pause:d} seconds later it answers no router for {seconds:d} seconds and then recovers")
+def another_outage(context, pause, seconds):
+    record_for(context, pause, answered=True)
     outage(context, seconds)
 
 
 @when("{seconds:d} seconds have passed")
-def passed(context, seconds):
-    beats(context, seconds, answered=True)
+def time_passes(context, seconds):
+    record_for(context, seconds, answered=True)
 
 
-@then("an outage of {seconds:d} seconds is kept for, from a full calm of {calm:d} seconds on")
-def kept_for(context, seconds, calm):
+@then("the reserve covers an outage of {seconds:d} seconds, in full after {calm:d} seconds of calm")
+def reserve_covers(context, seconds, calm):
     forecast = context.history.forecast
     assert forecast.length_ms == seconds * 1_000, forecast
     assert forecast.readiness == 0.0, forecast
-    beats(context, calm, answered=True)
+    record_for(context, calm, answered=True)
     assert context.history.forecast.readiness == 1.0
 
 
-@then("no outage is kept for")
-def none_kept(context):
+@then("the reserve covers no outage")
+def reserve_covers_none(context):
     assert context.history.forecast.length_ms == 0.0
 
 
-@then("the reserve is half of what it will be")
-def half(context):
+@then("the reserve is at half its full size")
+def half_ready(context):
     assert context.history.forecast.readiness == 0.5, context.history.forecast
 
 
 @given(
-    "an account of {limit:d} tokens of which {unheld:d} are held by nobody, "
-    "and {rate:d} used a second"
+    "an account of {limit:d} tokens of which {unheld:d} are unheld, "
+    "and {rate:d} are used per second"
 )
-def account(context, limit, unheld, rate):
+def account_with_demand(context, limit, unheld, rate):
     context.demand = Demand(committed=limit - unheld, waiting=0, per_second=rate, request=5_000)
     context.limit, context.unheld = limit, unheld
 
 
-@when("an outage of {seconds:d} seconds was seen {ago:d} seconds ago")
-def seen_ago(context, seconds, ago):
+@when("an outage of {seconds:d} seconds ended {ago:d} seconds ago")
+def outage_ended_ago(context, seconds, ago):
     holding = Holding(
         context.limit,
         context.unheld,
@@ -83,29 +83,31 @@
     context.reserve = AllowanceSizing().reserve(context.demand, holding)
 
 
-@then("the reserve is between {least:d} and {most:d} tokens")
-def between(context, least, most):
-    assert least <= context.reserve <= most, context.reserve
+@then("the reserve is between {min_tokens:d} and {max_tokens:d} tokens")
+def reserve_between(context, min_tokens, max_tokens):
+    assert min_tokens <= context.reserve <= max_tokens, context.reserve
 
 
 @when("reserves are sized for any demand, holding and outage")
-def any_reserve(context):
-    whole = st.integers(0, 10**7)
-    part = st.floats(0, 1)
+def generated_reserves(context):
+    tokens = st.integers(0, 10**7)
+    fraction = st.floats(0, 1)
 
     @settings(max_examples=300)
-    @given_any(whole, whole, whole, part, part, st.floats(0, 60_000), st.integers(0, 300))
-    def check(rate, limit, unheld, used_part, readiness, outage_ms, lost):
+    @given_any(
+        tokens, tokens, tokens, fraction, fraction, st.floats(0, 60_000), st.integers(0, 300)
+    )
+    def check(rate, limit, unheld, used_fraction, readiness, outage_ms, lost):
         sizing = AllowanceSizing()
         unheld = min(unheld, limit)
         demand = Demand(limit - unheld, 0, float(rate), 1_000)
-        holding = Holding(limit, unheld, 68, used_part, lost, outage_ms, readiness)
-        most = max(sizing.outage_part, sizing.demand_part, sizing.equal_part)
-        assert 0 <= sizing.reserve(demand, holding) <= unheld * most
+        holding = Holding(limit, unheld, 68, used_fraction, lost, outage_ms, readiness)
+        max_share = max(sizing.outage_part, sizing.demand_part, sizing.equal_part)
+        assert 0 <= sizing.reserve(demand, holding) <= unheld * max_share
 
     context.check = check
 
 
-@then("none is negative or above that part")
-def bounded(context):
+@then("none is negative or exceeds that share")
+def reserves_bounded(context):
     context.check()
--- a/features/steps/restored_mirror_steps.py
+++ b/features/steps/restored_mirror_steps.py
@@ -1,4 +1,4 @@
-"""Steps on mirrors of a store that comes back from copies, without a router around them."""
+"""Steps on mirrors, without routers, of a store that is restored from older copies."""
 
 from behave import given, then
 from hypothesis import given as given_any
@@ -26,16 +26,16 @@
     st.one_of(
         st.tuples(st.just("write"), KEYS),
         st.tuples(st.just("remove"), KEYS),
-        st.tuples(st.just("look"), st.booleans()),
-        st.tuples(st.just("time"), st.sampled_from([100.0, UNCONFIRMED_RETENTION_MS])),
+        st.tuples(st.just("read"), st.booleans()),
+        st.tuples(st.just("wait"), st.sampled_from([100.0, UNCONFIRMED_RETENTION_MS])),
     ),
     max_size=12,
 )
 HISTORIES = st.lists(st.tuples(EVENTS, EVENTS, st.booleans()), min_size=1, max_size=4)
 
 
-class ComingBackStore:
-    """Items by key; each write has a higher value. It comes back from copies."""
+class RestorableStore:
+    """Holds items by key; each write has a higher value, and it can be restored from a copy."""
 
     def __init__(self):
         self.items = {}
@@ -65,7 +65,7 @@
         ]
         return Snapshot(tuple(items), make_revision(self.era, self.revision))
 
-    def come_back(self, earlier):
+    def restore(self, earlier):
         before = self.values()
         self.items, self.revision = dict(earlier[0]), earlier[1]
         self.era += 1
@@ -79,12 +79,12 @@
                 self.put(key, before[key])
 
 
-class Followers:
-    """A mirror that reads the store, and one that is told by it; ``views`` is what they hold."""
+class MirrorPair:
+    """A mirror that reads the store, and one updated by it; ``views`` holds their values by key."""
 
     def __init__(self, *, ordered):
         self.clock = ManualClock()
-        self.store = ComingBackStore()
+        self.store = RestorableStore()
         self.views = [{}, {}]
         order = {"order": _order} if ordered else {}
         self.mirrors = [
@@ -93,23 +93,23 @@
                 "a/",
                 self.clock,
                 NullCounters(),
-                lambda state, number=number: self._take(number, state),
+                lambda state, number=number: self._set_view(number, state),
                 1_000,
                 **order,
             )
             for number in range(2)
         ]
 
-    def _take(self, number, state):
+    def _set_view(self, number, state):
         self.views[number] = {key: item.value for key, item in state.items.items()}
 
-    def look(self, *, told=True):
-        leader, follower = self.mirrors
-        leader.apply_snapshot(self.store.snapshot())
-        if told and leader.state.revision:
-            items = tuple(leader.state.items.values())
-            follower.apply_snapshot(
-                Snapshot(items, leader.state.revision, leader.state.changed_revision)
+    def read(self, *, updates_second=True):
+        first, second = self.mirrors
+        first.apply_snapshot(self.store.snapshot())
+        if updates_second and first.state.revision:
+            items = tuple(first.state.items.values())
+            second.apply_snapshot(
+                Snapshot(items, first.state.revision, first.state.changed_revision)
             )
 
     def wait(self, time_ms):
@@ -117,14 +117,14 @@
         for mirror in self.mirrors:
             mirror._expire_unconfirmed()
 
-    def play(self, events):
+    def apply_events(self, events):
         for name, value in events:
             if name == "write":
                 self.store.write(value)
             elif name == "remove":
                 self.store.remove(value)
-            elif name == "look":
-                self.look(told=value)
+            elif name == "read":
+                self.read(updates_second=value)
             else:
                 self.wait(value)
 
@@ -134,34 +134,34 @@
 
 
 def _check(history, *, ordered):
-    followers = Followers(ordered=ordered)
-    store = followers.store
-    for before, lost, is_late in history:
-        followers.play(before)
-        followers.look()
+    mirrors = MirrorPair(ordered=ordered)
+    store = mirrors.store
+    for before, lost, is_written_late in history:
+        mirrors.apply_events(before)
+        mirrors.read()
         earlier = (dict(store.items), store.revision)
-        followers.play(lost)
-        followers.look()
-        known = [dict(view) for view in followers.views]
-        written = store.come_back(earlier)
-        if not is_late:
+        mirrors.apply_events(lost)
+        mirrors.read()
+        known = [dict(view) for view in mirrors.views]
+        written = store.restore(earlier)
+        if not is_written_late:
             store.write_again(written)
-        followers.look()
-        assert followers.views == known, (followers.views, known)
-        if is_late:
+        mirrors.read()
+        assert mirrors.views == known, (mirrors.views, known)
+        if is_written_late:
             store.write_again(written)
-        followers.look()
-    followers.wait(UNCONFIRMED_RETENTION_MS)
-    assert followers.views == [store.values()] * 2, (followers.views, store.values())
+        mirrors.read()
+    mirrors.wait(UNCONFIRMED_RETENTION_MS)
+    assert mirrors.views == [store.values()] * 2, (mirrors.views, store.values())
 
 
-@given("two mirrors, one of which tells the other, of a store that comes back from copies")
-def two_mirrors(context):
+@given("two mirrors, one updated by the other, of a store that is restored from copies")
+def mirror_pair(context):
     context.ordered = (False, True)
 
 
-@then("both hold what was known until it is written again, and in the end what is stored")
-def hold_known(context):
+@then("both hold the known items until they are written again, and finally the stored items")
+def known_items_retained(context):
     for ordered in context.ordered:
 
         @settings(max_examples=300)
@@ -172,28 +172,28 @@
         check()
 
 
-@then("a newer item that was written before they looked is taken at once")
-def newer_taken(context):
-    followers = Followers(ordered=True)
-    store = followers.store
+@then("a newer item written before their first read after the restore is accepted at once")
+def newer_item_accepted(context):
+    mirrors = MirrorPair(ordered=True)
+    store = mirrors.store
     store.write("a/1")
-    followers.look()
+    mirrors.read()
     earlier = (dict(store.items), store.revision)
     store.write("a/1")
-    followers.look()
-    store.come_back(earlier)
+    mirrors.read()
+    store.restore(earlier)
     store.write("a/1")
-    followers.look()
-    assert followers.views == [store.values()] * 2, followers.views
+    mirrors.read()
+    assert mirrors.views == [store.values()] * 2, mirrors.views
 
 
-@given("revisions of several histories")
-def revisions(context):
+@given("revisions of several eras")
+def generated_revisions(context):
     context.revisions = st.tuples(st.integers(0, 999_999), st.integers(0, 2**40 - 1))
 
 
-@then("each holds its history and number, and a later history is later")
-def holds_both(context):
+@then("each contains its era and number, and a later era compares greater")
+def revisions_ordered(context):
     @given_any(context.revisions, context.revisions)
     def check(one, other):
         first, second = make_revision(*one), make_revision(*other)
@@ -203,8 +203,8 @@
     check()
 
 
-@then("watches and conditions of an earlier one fail, and writes that another one did are unsure")
-def earlier_fail(context):
+@then("watches and conditions of an earlier era fail, and writes in another era are uncertain")
+def earlier_era_fails(context):
     era = StoreEra()
     era.record(2)
     earlier, present = make_revision(1, 9), make_revision(2, 3)
@@ -226,11 +226,11 @@
             raise AssertionError(call)
 
 
-@then("an older one that is heard of late changes nothing")
-def older_is_late(context):
-    heard = []
+@then("an earlier era that is recorded late changes nothing")
+def earlier_era_ignored(context):
+    increases = []
     era = StoreEra()
-    era.on_increase = heard.append
+    era.on_increase = increases.append
     for each in (1, 3, 2, 3, 0):
         era.record(each)
-    assert era.current == 3 and heard == [None, 1], heard
+    assert era.current == 3 and increases == [None, 1], increases
--- a/features/steps/restored_store_steps.py
+++ b/features/steps/restored_store_steps.py
@@ -1,4 +1,4 @@
-"""Steps on gateways whose store comes back from an older copy of itself."""
+"""Steps on gateways whose store is restored from an older copy of its data."""
 
 import json
 import time
@@ -18,18 +18,18 @@
 from gateway_prepaid_steps import EVENTS, ask, given_tokens, spend
 from gateway_world import REPEATS, start
 
-# How long the store is away, and how long its writers then take to write again, in s.
-AWAY_S = 0.5
-WRITTEN_AGAIN_S = 0.3
-PATIENCE_S = 15.0
-MOST_LISTS = 12
+# How long the store is unreachable, and how long its writers then take to write again.
+OUTAGE_S = 0.5
+REWRITE_DELAY_S = 0.3
+TIMEOUT_S = 15.0
+MAX_LISTS_PER_GATEWAY = 12
 
 
 def status_of(router, path="/receipt/1", **fields):
     return router.call().request("GET", path, **fields).status
 
 
-def all_answer(context, status, path="/receipt/1", **fields):
+def all_respond(context, status, path="/receipt/1", **fields):
     return all(status_of(each, path, **fields) == status for each in context.fleet.routers)
 
 
@@ -38,30 +38,30 @@
         door.fault = fault
 
 
-FAULTS = {"while watches wait": "", "and first refuses all calls": "busy"}
+FAULTS = {"while watches wait": "", "and first rejects all calls": "busy"}
 
 
-def come_back(context, earlier, *, fault="reset", cut_off=()):
-    """Have the store go away, and come back from a copy; then its writers write again.
+def restore(context, earlier, *, fault="reset", cut_off=()):
+    """Make the store fail, restore it from a copy, and repeat the lost writes.
 
-    The doors ``cut_off`` stay closed.
+    The doors ``cut_off`` stay unresponsive.
     """
     store = context.fleet.store
     set_fault(context, fault)
-    time.sleep(AWAY_S if fault else 0.0)
+    time.sleep(OUTAGE_S if fault else 0.0)
     lost = store.come_back_from(earlier)
     set_fault(context, "")
     for door in cut_off:
         door.fault = "silent"
-    time.sleep(WRITTEN_AGAIN_S)
+    time.sleep(REWRITE_DELAY_S)
     store.write_again(lost)
 
 
-def come_back_unseen(context, earlier):
-    """Have the store come back and be written to before it answers a router."""
+def restore_unseen(context, earlier):
+    """Restore the store, and write to it before it answers a router."""
     store = context.fleet.store
     set_fault(context, "reset")
-    time.sleep(AWAY_S)
+    time.sleep(OUTAGE_S)
     known = store.revision
     store.write_again(store.come_back_from(earlier))
     change_configuration(context)
@@ -76,7 +76,7 @@
 
 
 def lose_changes(context, number):
-    """Have the operator make changes that the store will have lost."""
+    """Make operator changes that the restore will lose."""
     operator = context.fleet.operator
     for each in range(3):
         version = operator.add_route(route(f"/lost-{number}-{each}/", "portal"))
@@ -84,69 +84,69 @@
         assert eventually(lambda: router.find("configuration.applied", version=version))  # noqa: B023
 
 
-@given("three gateways before two replicas of each service")
+@given("three gateways and two replicas of each service")
 def three_gateways(context):
     fields = {"events": EVENTS, "pause_s": 0.0}
     start(context, routers=3, replicas=2, fields=fields, **REPEATS)
 
 
 @given("the failure domain of all replicas is evacuated")
-def evacuated(context):
+def domain_evacuated(context):
     context.fleet.operator.evacuate("hall-1")
-    assert eventually(lambda: all_answer(context, 503), PATIENCE_S)
+    assert eventually(lambda: all_respond(context, 503), TIMEOUT_S)
 
 
-@when('the store comes back from a copy "{how}"')
-def comes_back(context, how):
+@when('the store is restored from a copy "{how}"')
+def store_restored(context, how):
     context.lists = sum(door.calls["GET /kv-range"] for door in context.fleet.store.doors)
     for number in range(2 if how == "twice" else 1):
         earlier = context.fleet.store.copy()
         lose_changes(context, number)
         last = context.fleet.routers[-1].door
-        cut_off = [last] if how == "but not to one gateway" else []
-        come_back(context, earlier, fault=FAULTS.get(how, "reset"), cut_off=cut_off)
+        cut_off = [last] if how == "but not for one gateway" else []
+        restore(context, earlier, fault=FAULTS.get(how, "reset"), cut_off=cut_off)
 
 
-@when("the store comes back from a copy, and more is written than was lost before it answers")
-def comes_back_unseen(context):
+@when("the store is restored from a copy, and gets more writes than it lost before it answers")
+def store_restored_unseen(context):
     context.lists = sum(door.calls["GET /kv-range"] for door in context.fleet.store.doors)
     earlier = context.fleet.store.copy()
     lose_changes(context, 0)
-    come_back_unseen(context, earlier)
+    restore_unseen(context, earlier)
 
 
-@when("then a key is taken away and a route is added")
-def key_and_route(context):
+@when("then a key is revoked and a route is added")
+def key_revoked_and_route_added(context):
     change_configuration(context)
 
 
-@then("all gateways refuse the key and serve the route")
-def refuse_and_serve(context):
-    assert eventually(lambda: all_answer(context, 401, key="key-two"), PATIENCE_S)
-    assert eventually(lambda: all_answer(context, 200, "/later/1"), PATIENCE_S)
+@then("all gateways reject the key and serve the route")
+def reject_key_and_serve_route(context):
+    assert eventually(lambda: all_respond(context, 401, key="key-two"), TIMEOUT_S)
+    assert eventually(lambda: all_respond(context, 200, "/later/1"), TIMEOUT_S)
 
 
-@then("the store was asked for few lists")
-def few_lists(context):
+@then("the gateways made few list calls to the store")
+def few_list_calls(context):
     lists = sum(door.calls["GET /kv-range"] for door in context.fleet.store.doors)
-    each = (lists - context.lists) / len(context.fleet.routers)
-    assert each <= MOST_LISTS, each
+    per_gateway = (lists - context.lists) / len(context.fleet.routers)
+    assert per_gateway <= MAX_LISTS_PER_GATEWAY, per_gateway
 
 
-@when("then another portal replica comes, and the others go")
-def another_comes(context):
+@when("then another portal replica registers, and the others unregister")
+def new_replica_registers(context):
     others = context.fleet.of("portal")
     context.new = context.fleet.add_replica("portal")
     for replica in others:
         replica.unlist()
 
 
-@then("all gateways send to the new one alone")
-def all_send(context):
+@then("all gateways send requests only to the new one")
+def all_send_to_new(context):
     for router in context.fleet.routers:
         for replica in context.fleet.of("portal")[:-1]:
             name = replica.identity
-            assert eventually(lambda: router.find("replica.gone", replica=name), PATIENCE_S)  # noqa: B023
+            assert eventually(lambda: router.find("replica.gone", replica=name), TIMEOUT_S)  # noqa: B023
         before = len(context.new.requests)
         assert status_of(router) == 200
         assert len(context.new.requests) == before + 1
@@ -157,24 +157,24 @@
     context.fleet.operator.take_back("hall-1")
 
 
-@then("all gateways send to it again")
-def send_again(context):
-    assert eventually(lambda: all_answer(context, 200), PATIENCE_S)
+@then("all gateways send requests to it again")
+def all_send_again(context):
+    assert eventually(lambda: all_respond(context, 200), TIMEOUT_S)
 
 
-@when("one gateway is killed and starts again")
-def starts_again(context):
+@when("one gateway is killed and restarted")
+def gateway_restarted(context):
     router = context.fleet.routers[0]
     router.kill()
     context.fleet.start_again(router)
 
 
-@when("the store loses a key's end, a replica's draining and an evacuation, and is back")
-def loses_three(context):
+@when("the store is restored without a key's revocation, a replica's draining and an evacuation")
+def restored_without_three(context):
     fleet = context.fleet
     context.draining = fleet.of("portal")[0]
     context.evacuated = fleet.add_replica("portal", domain="hall-2")
-    assert eventually(lambda: all(_knows(each, context.evacuated) for each in fleet.routers))
+    assert eventually(lambda: all(_has_listed(each, context.evacuated) for each in fleet.routers))
     earlier = fleet.store.copy()
     fleet.operator.revoke("key-two")
     context.draining.list("draining")
@@ -187,40 +187,40 @@
     context.lost = fleet.store.come_back_from(earlier)
 
 
-def _knows(router, replica):
+def _has_listed(router, replica):
     return router.find("replica.listed", replica=replica.identity)
 
 
-@then("none of the three is undone before they are written again, nor after")
-def none_undone(context):
-    written = False
+@then("none of the three is undone, either before or after they are written again")
+def none_of_three_undone(context):
+    is_rewritten = False
     for number in range(100):
         for router in context.fleet.routers:
             assert status_of(router, key="key-two") == 401
             assert status_of(router, f"/receipt/{number}") == 200
-        if number > 50 and not written:
+        if number > 50 and not is_rewritten:
             context.fleet.store.write_again(context.lost)
-            written = True
+            is_rewritten = True
     now = [len(each.requests) for each in (context.draining, context.evacuated)]
     assert now == context.before, (now, context.before)
 
 
 @when("a call with an unknown key is refused")
-def unknown_key(context):
+def unknown_key_refused(context):
     assert status_of(context.router, key="key-none") == 401
 
 
-@then("its story tells which history the store names, and what was kept")
-def story_tells(context):
+@then("its trace shows the era of the store and the retained items")
+def trace_shows_restore(context):
     ended = eventually(lambda: context.router.find("request.ended", status=401))
     lines = [json.dumps(line) for line in context.router.lines]
-    story = "\n".join(tell_story(ended["request_id"], read_lines("router-1", lines)).lines())
-    assert "store.era  era=2 before=1" in story, story
-    assert "store.restored  prefix=op/" in story and "kept=['op/config']" in story, story
+    trace = "\n".join(tell_story(ended["request_id"], read_lines("router-1", lines)).lines())
+    assert "store.era  era=2 before=1" in trace, trace
+    assert "store.restored  prefix=op/" in trace and "kept=['op/config']" in trace, trace
 
 
-@given('a client of a store whose answers name the history "{named}"')
-def client_of_named(context, named):
+@given('a client of a store whose responses name the era "{named}"')
+def client_of_store_naming_era(context, named):
     stand_in = StoreStandIn()
     context.cleanup.callback(stand_in.close)
     stand_in.era = named
@@ -231,20 +231,20 @@
 
 
 @when("it makes three calls")
-def three_calls(context):
+def makes_three_calls(context):
     for _ in range(3):
         assert context.client.get("op/config") is None
 
 
-@then("it knows history {known:d}, and one line tells what could not be read: {told}")
-def knows_history(context, known, told):
-    assert context.client.era.current == known
+@then("its era is {era:d}, and one log line reports an unreadable era: {logged}")
+def era_and_log_line(context, era, logged):
+    assert context.client.era.current == era
     lines = [each for each in context.lines if "era_unreadable" in each.get("message_type", "")]
-    assert len(lines) == (told == "yes"), lines
+    assert len(lines) == (logged == "yes"), lines
 
 
-@given("three gateways whose store names no history")
-def names_no_history(context):
+@given("three gateways and a store that names no era")
+def store_names_no_era(context):
     context.fleet = Fleet(context.cleanup)
     context.fleet.store.era = None
     context.fleet.operator.write()
@@ -253,8 +253,8 @@
         context.fleet.add_router()
 
 
-@given("three gateways whose store first names history {first:d}")
-def first_history(context, first):
+@given("three gateways and a store that first names era {first:d}")
+def store_first_names_era(context, first):
     context.fleet = Fleet(context.cleanup)
     context.fleet.store.era = first
     context.fleet.operator.write()
@@ -264,13 +264,13 @@
         context.fleet.add_router(**REPEATS)
 
 
-@given("three gateways before four portal replicas")
+@given("three gateways and four portal replicas")
 def four_portals(context):
     start(context, routers=3, replicas=4)
 
 
-@when("a receipt has ended three of them, and the store loses its record")
-def record_lost(context):
+@when("a receipt request has crashed three of them, and the store loses its record")
+def crash_record_lost(context):
     store = context.fleet.store
     earlier = store.copy()
     for replica in context.fleet.of("portal"):
@@ -278,7 +278,7 @@
     statuses = [ask_once(context.router, "/receipt/ending") for _ in range(4)]
     assert statuses == [502, 502, 502, 503], statuses
     assert eventually(lambda: crash_records(context))
-    context.ended = sum(replica.gone for replica in context.fleet.of("portal"))
+    context.crashed = sum(replica.gone for replica in context.fleet.of("portal"))
     store.come_back_from(earlier)
     assert not crash_records(context)
 
@@ -287,13 +287,13 @@
     return [key for key in context.fleet.store.items if key.startswith(RECORD_PREFIX)]
 
 
-@then("the record is written again, and no gateway sends the receipt on")
+@then("the record is written again, and no gateway forwards the request")
 def record_written_again(context):
-    assert eventually(lambda: crash_records(context), PATIENCE_S)
+    assert eventually(lambda: crash_records(context), TIMEOUT_S)
     for router in context.fleet.routers:
         assert ask_once(router, "/receipt/ending") == 503
-    ended = sum(replica.gone for replica in context.fleet.of("portal"))
-    assert ended == context.ended, (ended, context.ended)
+    crashed = sum(replica.gone for replica in context.fleet.of("portal"))
+    assert crashed == context.crashed, (crashed, context.crashed)
 
 
 @given("an account with {prepaid:d} prepaid tokens")
@@ -304,38 +304,39 @@
     context.prepaid = prepaid
 
 
-@when("one gateway is killed after it drew tokens, and the store loses what it wrote")
-def killed_in_lost_time(context):
+@when("one gateway is killed after it drew tokens, and the store loses its writes")
+def killed_before_restore(context):
     killed = context.fleet.routers[0]
     earlier = context.fleet.store.copy()
     for _ in range(4):
         assert ask(killed).status == 200
     killed.kill()
     context.fleet.store.come_back_from(earlier)
-    context.living = context.fleet.routers[1:]
+    context.remaining = context.fleet.routers[1:]
 
 
-@when("the other gateways spend until they are refused")
-def spend_until_refused(context):
-    context.served, context.statuses = spend(context.living)
+@when("the other gateways use tokens until they are refused")
+def use_until_refused(context):
+    context.served, context.statuses = spend(context.remaining)
 
 
-@then("no more was given than was prepaid")
-def no_more_given(context):
-    given = given_tokens(context)
-    assert given <= context.prepaid, given
+@then("no more tokens were delivered than were prepaid")
+def no_more_delivered(context):
+    delivered = given_tokens(context)
+    assert delivered <= context.prepaid, delivered
 
 
-@when("the store loses a replica's record for good")
-def loses_record(context):
+@when("the store permanently loses a replica's record")
+def replica_record_lost(context):
     earlier = context.fleet.store.copy()
-    context.ended = context.fleet.add_replica("portal")
+    context.lost_replica = context.fleet.add_replica("portal")
     for router in context.fleet.routers:
-        assert eventually(lambda: _knows(router, context.ended))  # noqa: B023
+        assert eventually(lambda: _has_listed(router, context.lost_replica))  # noqa: B023
     context.fleet.store.come_back_from(earlier)
 
 
-@then("all gateways leave that replica out in the end")
-def left_out(context):
+@then("all gateways finally remove that replica")
+def replica_removed(context):
     for router in context.fleet.routers:
-        assert eventually(lambda: router.find("replica.gone", replica=context.ended.identity))  # noqa: B023
+        name = context.lost_replica.identity
+        assert eventually(lambda: router.find("replica.gone", replica=name))  # noqa: B023
