--- a/src/aspengate/store/_unanswered.py
+++ b/src/aspengate/store/_unanswered.py
@@ -1,7 +1,7 @@
 """Decides after how many unanswered calls waiting watches are aborted."""
 
 # A single unanswered call may be one lost packet, or a store that has just become slow.
-_MAX_UNANSWERED = 2
+_UNANSWERED_THRESHOLD = 2
 
 
 class UnansweredCallCounter:
@@ -22,4 +22,4 @@
     def record_unanswered(self) -> bool:
         """Count an unanswered call; return whether waiting watches must be aborted."""
         self._unanswered += 1
-        return self._unanswered >= _MAX_UNANSWERED
+        return self._unanswered >= _UNANSWERED_THRESHOLD
