--- a/features/choice.feature
+++ b/features/choice.feature
@@ -1,21 +1,21 @@
-Feature: A request goes where its answer begins soonest and others are hurt least
+Feature: The choice of a replica weighs the time to first token and the delay of other requests
 
-  Scenario: Reading speeds are learned, whatever they are
-    Given engines of any speed, up to three times slower or faster than any that is known
+  Scenario: Times to first token are estimated for any engine speed
+    Given engines of any speed, up to three times slower or faster than known ones
     When prompts of many sizes have been read
-    Then the expected first tokens are near those that come
+    Then the expected times to first token are close to the true ones
 
-  Scenario: Long prompts keep away from streams that they would hold up too long
-    Given fast and slow engines with streams, where a long prompt holds up a slow one too long
-    When long prompts have been read at each of them
-    Then a further long prompt goes to a fast one
-    And it may go to the slow one once the streams there have nothing to lose
+  Scenario: Long prompts avoid replicas whose streams they would delay too long
+    Given a fast and a slow engine with streams, of which a long prompt delays the slow one too long
+    When each engine has read several long prompts
+    Then another long prompt goes to the fast engine
+    And the slow engine costs nothing extra once its streams have exceeded their allowed pause
 
-  Scenario: Streams keep away from engines whose pauses were too long
-    Given two engines that are alike but for the pauses of their streams
-    When a stream is to be placed
-    Then it goes to the one whose streams were in time, until the other's pauses are long past
+  Scenario: Streams avoid engines with recent pauses beyond the allowed one
+    Given two engines that differ only in the pauses of their streams
+    When a stream is placed
+    Then it goes to the engine without late pauses, until those of the other engine are long past
 
-  Scenario: What is expected is never negative, whatever was seen
-    When any first tokens and pauses are seen in any order
-    Then every expectation is a finite time of zero or more
+  Scenario: Estimates are finite and not negative for any samples
+    When any times to first token and pauses are recorded in any order
+    Then every estimate is a finite time of zero or more
--- a/features/evacuation.feature
+++ b/features/evacuation.feature
@@ -1,41 +1,41 @@
-Feature: Nothing is sent to a failure domain that the operator evacuates
+Feature: An evacuated failure domain gets no requests
 
-  Scenario: An evacuated failure domain gets nothing until it is taken back
-    Given a gateway before replicas in two failure domains
+  Scenario: A failure domain gets no requests until its evacuation is withdrawn
+    Given a gateway with replicas in two failure domains
     When the operator evacuates the first failure domain
-    Then soon everything goes to the second one
-    And the log tells when the evacuation came into force, with its revision
-    When the operator takes the first failure domain back and evacuates the second one
-    Then soon everything goes to the first one
-    And the log tells when the evacuation ended, and how long it was in force
+    Then soon all requests go to the second failure domain
+    And the log records the start of the evacuation with its revision
+    When the operator withdraws the first evacuation and evacuates the second failure domain
+    Then soon all requests go to the first failure domain
+    And the log records the end of the evacuation with its duration
 
-  Scenario: A repeat goes to another failure domain
-    Given a gateway before replicas in two failure domains
+  Scenario: A retry does not go to an evacuated failure domain
+    Given a gateway with replicas in two failure domains
     When the first failure domain is evacuated and one of two replicas of the second one refuses
-    Then every request is answered by the second failure domain and none reaches the first one
+    Then the second failure domain answers every request and the first one receives none
 
-  Scenario: A router that starts knows an evacuation before it serves
-    Given a gateway before replicas in two failure domains
+  Scenario: A router applies an evacuation from its first request on
+    Given a gateway with replicas in two failure domains
     When the first failure domain is evacuated and another router starts
-    Then from its first request on everything goes to the second one
+    Then from its first request on, the new router uses only the second failure domain
 
-  Scenario: A router that the store turns away hears of it from its peers
-    Given two gateways with a door to the store each, before two failure domains
-    When the second one's door is busy and the first failure domain is evacuated
-    Then soon everything that the second gateway gets goes to the second failure domain
+  Scenario: A router that cannot read the store learns of an evacuation from its peers
+    Given two gateways with separate access to the store and replicas in two failure domains
+    When the store rejects the second gateway as busy and the first failure domain is evacuated
+    Then soon the second gateway sends all requests to the second failure domain
 
-  Scenario: An evacuation whose change was lost with the store's history is read again
-    Given a gateway before replicas in two failure domains
-    When the store forgets its history while the first failure domain is evacuated
-    Then soon everything goes to the second one
+  Scenario: An evacuation is read again if its change was lost with the store's history
+    Given a gateway with replicas in two failure domains
+    When the store discards its history while the first failure domain is evacuated
+    Then soon all requests go to the second failure domain
 
-  Scenario: With all failure domains evacuated requests are refused at once and did not run
-    Given a gateway before replicas in two failure domains
+  Scenario: Requests are refused at once and not executed if all failure domains are evacuated
+    Given a gateway with replicas in two failure domains
     When the operator evacuates both failure domains
-    Then a call gets 503 with the time to come back, and nothing runs
+    Then a call gets a 503 with Retry-After, and no replica receives it
     And the refusal names the evacuated failure domains
 
-  Scenario: A value that is not readable still evacuates its failure domain
-    Given a gateway before replicas in two failure domains
-    When an evacuation of the first failure domain is written with a value of no known form
-    Then soon everything goes to the second one
+  Scenario: An evacuation with an unreadable value still applies
+    Given a gateway with replicas in two failure domains
+    When an evacuation of the first failure domain is written with a malformed value
+    Then soon all requests go to the second failure domain
--- a/features/lives.feature
+++ b/features/lives.feature
@@ -1,19 +1,19 @@
-Feature: A replica that starts again under its id is another one
+Feature: A replica that restarts under its id is a new incarnation
 
-  # A replica that had started again under its id was taken for the one before: it did not count as
-  # cold, kept the failures and the shared parts of the earlier process, and where another one had
-  # answered at the old address it was left out for 15 s though its record named a new address.
-  Scenario: Nothing that was learnt of an earlier start holds for the next one
-    Given a replica that failed, was slow, was replaced at its address and holds parts
-    When its record tells of a later start, by its time or by a number that begins again
-    Then it is a new replica: ready, cold as it says, without failures, parts or connections
+  # Guards against taking a restarted replica for its earlier process: it was not treated as cold,
+  # and kept that process's failures and prompt segments. If another replica had responded at the
+  # old address, it was excluded for 15 s although its record named a new address.
+  Scenario: Nothing recorded for an earlier incarnation applies to the next one
+    Given a replica that failed, was slow, was replaced at its address and holds prompt segments
+    When its record shows a restart, by its start time or by a sequence number that starts over
+    Then it is ready, cold as its record states, without failures, prompt segments or connections
 
-  Scenario: What others tell of an earlier start says nothing of the next one
-    Given a replica that failed, was slow, was replaced at its address and holds parts
-    When it has started again, and messages on the earlier start still come
-    Then they change nothing of it
+  Scenario: Messages about an earlier incarnation do not affect the next one
+    Given a replica that failed, was slow, was replaced at its address and holds prompt segments
+    When it has restarted, and messages about the earlier incarnation still arrive
+    Then they do not change the new incarnation
 
-  Scenario: A gateway uses a replica as soon as its new record is there
-    Given a gateway that met another replica at the address of the only one
-    When that one starts again under its id at a new address
-    Then it gets the next receipts, within the time of a change of the list
+  Scenario: A gateway uses a restarted replica as soon as it has read the new record
+    Given a gateway that found another replica at the address of the only one
+    When the replica restarts under its id at a new address
+    Then it gets the next receipts within the time of a list update
--- a/features/replica_limits.feature
+++ b/features/replica_limits.feature
@@ -12,7 +12,7 @@
     Given 4 gateways that share repeats, before four replicas of each service
     When for 9 s one replica of each service names a limit of 1 request a second
     Then from 3 s after its first word no replica in need gets more than its limit allows in any 4 s
-    And every repeatable request was answered
+    And every retryable request was answered
 
   # The same replica beside others that turn requests away: in need it has nothing in flight and
   # answers at once, so that it was everybody's next choice.
@@ -47,7 +47,7 @@
     Given 4 gateways that share repeats, before four replicas of each service
     When for 4 s one replica of each service names a limit of 1, and for 6 s none
     Then in the last 2 s it gets at least a tenth of its service's requests
-    And every repeatable request was answered
+    And every retryable request was answered
 
   Scenario: A gateway that has just started is told of limits before it asks the replica
     Given 4 gateways that share repeats, before four replicas of each service
--- a/features/replica_statements.feature
+++ b/features/replica_statements.feature
@@ -1,38 +1,38 @@
-Feature: What a replica says of itself holds for its present start, by whichever way it came
-
-  Scenario: A record that lapses and comes back takes nothing back
-    Given a registry with a replica that said that it leaves, and one that asked for 3 s of rest
-    When both records lapse and come back under the same start, and still read ready
-    Then the first one gets nothing, and the second one nothing before its rest has ended
-
-  Scenario: A notice that comes while the record has lapsed counts as well
-    Given a registry with a replica that has said nothing
-    When its record lapses, an answer of it says that it leaves, and the record comes back
-    Then it gets nothing
-
-  Scenario: Another start has said nothing
-    Given a registry with a replica that said that it leaves, and one that asked for 3 s of rest
-    When both start again under their ids, by a later time or a number that begins anew
-    Then both take requests, and what an answer of the earlier start still says changes nothing
-
-  Scenario: An answer without the header and peers that know nothing take nothing back
-    Given a registry with a replica that said that it leaves, and one that asked for 3 s of rest
-    When both give usual answers, and their records are written again
-    Then the first one gets nothing, and the second one nothing before its rest has ended
-
-  Scenario: A time of rest goes on while the machine is suspended
-    Given a registry with a replica that said that it leaves, and one that asked for 3 s of rest
+Feature: The state that a replica reports applies to its current incarnation
+
+  Scenario: The reported state outlasts a record that lapses and returns
+    Given a registry with a replica that reported leaving, and one that asked for a 3 s backoff
+    When both records lapse and return with the same start time, and are still marked ready
+    Then the first one gets no requests, and the second one none before its backoff has ended
+
+  Scenario: A notice that arrives while the record has lapsed applies as well
+    Given a registry with a replica that has reported no state
+    When its record lapses, one of its responses reports leaving, and the record returns
+    Then it gets no requests
+
+  Scenario: A new incarnation has no reported state
+    Given a registry with a replica that reported leaving, and one that asked for a 3 s backoff
+    When both restart under their ids, with a later start time or a sequence number that starts over
+    Then both take requests, and a late response of the earlier incarnation does not change that
+
+  Scenario: A response without the headers and a rewritten record do not clear the reported state
+    Given a registry with a replica that reported leaving, and one that asked for a 3 s backoff
+    When both send ordinary responses, and their records are written again
+    Then the first one gets no requests, and the second one none before its backoff has ended
+
+  Scenario: A backoff continues while the machine is suspended
+    Given a registry with a replica that reported leaving, and one that asked for a 3 s backoff
     When the machine is suspended for 3 s
     Then the second one takes requests again
 
-  Scenario: A shorter rest does not cut a longer one, and the longest is ten minutes
-    Given a registry with a replica that has said nothing
+  Scenario: A shorter backoff does not replace a longer one, and the longest is ten minutes
+    Given a registry with a replica that has reported no state
     When it asks for 3 s, then for 1 s, and once for 1e9 s
-    Then its rest ends after the longest of these, or after ten minutes
+    Then its backoff ends after the longest of these, or after ten minutes
 
-  Scenario Outline: Of what stands in Retry-After only a time in seconds counts
-    Given an answer with "<value>" in Retry-After
-    Then the time that it asks for is <ms> ms
+  Scenario Outline: Only a number of seconds in Retry-After is a backoff
+    Given a response with "<value>" in Retry-After
+    Then the backoff that it asks for is <ms> ms
 
     Examples:
       | value                         | ms            |
@@ -47,56 +47,56 @@
       | Wed, 21 Oct 2026 07:28:00 GMT | 0             |
       | soon                          | 0             |
 
-  Scenario: Whatever answers say, a start that leaves stays away and rests only grow
-    Given any series of notices, lapses, returns and times
-    Then no start is open once it has left, or before the end of the longest rest it asked for
+  Scenario: A leaving incarnation stays unavailable and backoffs never shrink, for any notices
+    Given any sequence of notices, record lapses, record returns and delays
+    Then no incarnation is available after it reported leaving, or before its longest backoff ends
 
-  Scenario Outline: The header counts on each kind of answer
+  Scenario Outline: The header applies on each kind of response
     Given a gateway before two replicas of each service
-    When <answer> says that its replica leaves
-    Then the gateway tells so at once, sends it nothing more, and keeps no connection to it
+    When <answer> reports that its replica is leaving
+    Then the gateway logs it at once, sends no more requests, and keeps no idle connection to it
 
     Examples:
-      | answer                           |
-      | a whole answer                   |
-      | the head of a stream that runs   |
-      | a failure of its own             |
-      | a refusal                        |
-      | an answer that is cut            |
-      | a run whose caller has left      |
-
-  Scenario Outline: What is not the word of the replica that was meant says nothing of it
+      | answer                          |
+      | a complete response             |
+      | the head of a running stream    |
+      | a failure of the replica        |
+      | a refusal                       |
+      | a truncated response            |
+      | a run whose caller disconnected |
+
+  Scenario Outline: A response that is not from the intended replica does not affect its state
     Given a gateway before two replicas of each service
-    When <answer> says that its replica leaves
-    Then the gateway does not take it for one that leaves
+    When <answer> reports that its replica is leaving
+    Then the gateway does not treat it as leaving
 
     Examples:
-      | answer                             |
-      | a 421                              |
-      | a success that nobody signed       |
+      | answer                        |
+      | a 421                         |
+      | a success without a signature |
 
-  Scenario: A request that was chosen before the word came is not sent after it
-    Given a gateway that has chosen a replica for a request, whose connection comes up slowly
-    When another answer says that this replica leaves before the first byte has gone
-    Then the request goes to the other one, without a second arrival, and a repeat is given back
+  Scenario: A request is not sent to a chosen replica that reports leaving before the first byte
+    Given a gateway that has chosen a replica for a request and is still connecting to it
+    When another response reports that this replica is leaving before the first byte is sent
+    Then the request goes to another replica without a second arrival, and its retry is returned
 
-  Scenario: A stream that may be resumed is not resumed at a replica that leaves
+  Scenario: A resumable stream is not resumed at a replica that is leaving
     Given a gateway before two replicas of each service
-    When one engine says that it leaves, and a stream breaks at the other one
-    Then the one that leaves gets no part of it
+    When one engine reports that it is leaving, and a stream breaks at the other one
+    Then the leaving engine gets no part of the stream
 
-  Scenario: Where all replicas rest, callers hear at once when the first one comes back
+  Scenario: If all replicas back off, callers are refused with the end of the first backoff
     Given a gateway before two replicas of each service
-    When both portal replicas ask for rest, one for 3 s and one for 60 s
-    Then the next receipt is refused at once and not sent, with a time to come back of 3 to 4 s
-    And the story of that receipt names both replicas and what they asked for
+    When both portal replicas ask for a backoff, one for 3 s and one for 60 s
+    Then the next receipt is refused at once and not sent, with a Retry-After of 3 to 4 s
+    And the trace of that receipt shows both replicas and the backoffs that they asked for
 
-  Scenario: Where all replicas leave, callers are refused at once
+  Scenario: If all replicas are leaving, callers are refused at once
     Given a gateway before two replicas of each service
-    When both portal replicas say that they leave
-    Then the next receipt is refused at once and not sent, with a time to come back of 2 s
+    When both portal replicas report that they are leaving
+    Then the next receipt is refused at once and not sent, with a Retry-After of 2 s
 
-  Scenario: Figures tell how many replicas leave and rest
+  Scenario: Metrics count the replicas that are leaving and backing off
     Given a gateway before two replicas of each service
-    When one portal replica says that it leaves, and the other one asks for 60 s of rest
-    Then the figures tell of one that leaves and one that rests
+    When one portal replica reports that it is leaving, and the other one asks for a 60 s backoff
+    Then the metrics show one replica that is leaving and one that is backing off
--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -9,7 +9,7 @@
 STREAM = {"tokens": (100, 20), "parts": "ab:90,cd:10"}
 
 
-def begin(context, routers):
+def start_fleet(context, routers):
     context.fleet = Fleet(context.cleanup)
     context.fleet.operator.write()
     for domain in (FIRST, SECOND):
@@ -28,8 +28,8 @@
     return sum(len(each.requests) for each in in_domain(context, domain))
 
 
-def ask(router):
-    """Send receipts and streams; return the statuses."""
+def send_requests(router):
+    """Send receipts and streams; return the response statuses."""
     statuses = []
     for number in range(CALLS):
         statuses.append(router.call().request("GET", f"/receipt/{number}").status)
@@ -38,14 +38,14 @@
     return statuses
 
 
-def spares(context, router, domain):
-    """Return whether everything is served and nothing reaches a failure domain."""
+def avoids(context, router, domain):
+    """Return whether all requests succeed and none reaches a failure domain."""
     before = arrivals(context, domain)
-    return set(ask(router)) == {200} and arrivals(context, domain) == before
+    return set(send_requests(router)) == {200} and arrivals(context, domain) == before
 
 
-def goes_to_second(context, router):
-    return spares(context, router, FIRST)
+def uses_only_second(context, router):
+    return avoids(context, router, FIRST)
 
 
 def evacuate(context, *domains):
@@ -53,14 +53,14 @@
         context.revision = context.fleet.operator.evacuate(domain)
 
 
-@given("a gateway before replicas in two failure domains")
+@given("a gateway with replicas in two failure domains")
 def one_gateway(context):
-    begin(context, 1)
+    start_fleet(context, 1)
 
 
-@given("two gateways with a door to the store each, before two failure domains")
+@given("two gateways with separate access to the store and replicas in two failure domains")
 def two_gateways(context):
-    begin(context, 2)
+    start_fleet(context, 2)
     first, second = context.fleet.routers
     assert eventually(lambda: first.find("member.heard") and second.find("member.heard"))
 
@@ -76,87 +76,87 @@
     assert eventually(lambda: len(context.router.find_all("evacuation.began")) == 2)
 
 
-@when("an evacuation of the first failure domain is written with a value of no known form")
-def evacuates_strangely(context):
+@when("an evacuation of the first failure domain is written with a malformed value")
+def evacuates_with_malformed_value(context):
     context.fleet.store.put(f"op/evacuate/{FIRST}", ["since", 5])
 
 
-@when("the operator takes the first failure domain back and evacuates the second one")
-def takes_back(context):
+@when("the operator withdraws the first evacuation and evacuates the second failure domain")
+def withdraws_first(context):
     context.fleet.operator.take_back(FIRST)
     evacuate(context, SECOND)
 
 
 @when("the first failure domain is evacuated and one of two replicas of the second one refuses")
-def refuses_once(context):
+def second_domain_refuses_partly(context):
     evacuate(context, FIRST)
-    assert eventually(lambda: goes_to_second(context, context.router))
+    assert eventually(lambda: uses_only_second(context, context.router))
     context.fleet.add_replica("portal", domain=SECOND)
     assert eventually(lambda: len(context.router.find_all("replica.listed")) == 5)
     context.before = arrivals(context, FIRST)
     in_domain(context, SECOND)[0].behaviour = "refuse"
-    context.statuses = ask(context.router)
+    context.statuses = send_requests(context.router)
 
 
 @when("the first failure domain is evacuated and another router starts")
-def another_starts(context):
+def another_router_starts(context):
     evacuate(context, FIRST)
     context.before = arrivals(context, FIRST)
     context.late = context.fleet.add_router()
 
 
-@when("the second one's door is busy and the first failure domain is evacuated")
-def door_busy(context):
+@when("the store rejects the second gateway as busy and the first failure domain is evacuated")
+def store_rejects_second_gateway(context):
     context.fleet.routers[1].door.fault = "busy"
     evacuate(context, FIRST)
 
 
-@when("the store forgets its history while the first failure domain is evacuated")
-def forgets(context):
+@when("the store discards its history while the first failure domain is evacuated")
+def store_discards_history(context):
     evacuate(context, FIRST)
     context.fleet.store.forget_history()
 
 
-@then("soon everything goes to the second one")
-def to_the_second(context):
-    assert eventually(lambda: goes_to_second(context, context.router))
+@then("soon all requests go to the second failure domain")
+def all_to_second(context):
+    assert eventually(lambda: uses_only_second(context, context.router))
 
 
-@then("soon everything that the second gateway gets goes to the second failure domain")
+@then("soon the second gateway sends all requests to the second failure domain")
 def second_gateway(context):
-    assert eventually(lambda: goes_to_second(context, context.fleet.routers[1]))
+    assert eventually(lambda: uses_only_second(context, context.fleet.routers[1]))
 
 
-@then("soon everything goes to the first one")
-def used_again(context):
-    assert eventually(lambda: spares(context, context.router, SECOND))
+@then("soon all requests go to the first failure domain")
+def all_to_first(context):
+    assert eventually(lambda: avoids(context, context.router, SECOND))
 
 
-@then("the log tells when the evacuation came into force, with its revision")
-def told_began(context):
+@then("the log records the start of the evacuation with its revision")
+def start_logged(context):
     line = eventually(lambda: context.router.find("evacuation.began", failure_domain=FIRST))
     assert line and line["revision"] == context.revision, line
 
 
-@then("the log tells when the evacuation ended, and how long it was in force")
-def told_ended(context):
+@then("the log records the end of the evacuation with its duration")
+def end_logged(context):
     line = eventually(lambda: context.router.find("evacuation.ended", failure_domain=FIRST))
     assert line and line["in_force_ms"] > 0, line
 
 
-@then("every request is answered by the second failure domain and none reaches the first one")
+@then("the second failure domain answers every request and the first one receives none")
 def answered_by_second(context):
     assert arrivals(context, FIRST) == context.before
     assert set(context.statuses) == {200}, context.statuses
 
 
-@then("from its first request on everything goes to the second one")
-def from_the_first(context):
-    assert set(ask(context.late)) == {200}
+@then("from its first request on, the new router uses only the second failure domain")
+def second_from_first_request_on(context):
+    assert set(send_requests(context.late)) == {200}
     assert arrivals(context, FIRST) == context.before
 
 
-@then("a call gets 503 with the time to come back, and nothing runs")
+@then("a call gets a 503 with Retry-After, and no replica receives it")
 def refused(context):
     before = arrivals(context, FIRST) + arrivals(context, SECOND)
     context.answer = context.router.call().request("GET", "/receipt/1")
--- a/features/steps/leaving_and_resting_steps.py
+++ b/features/steps/leaving_and_resting_steps.py
@@ -1,4 +1,4 @@
-"""Steps on replicas that leave or ask for rest."""
+"""Steps on replicas that are leaving or ask for a backoff."""
 
 from behave import given, then, when
 
@@ -7,39 +7,39 @@
 ROUTERS = 4
 REPLICAS = 4
 DRAIN_S = 2.0
-REST_S = 1.5
-REST_NOTED_S = 0.5
-MOST_IN_REST = 2
+BACKOFF_S = 1.5
+BACKOFF_APPLIED_S = 0.5
+MAX_IN_BACKOFF = 2
 
 
-@given("four gateways that share repeats, before four replicas of each service")
+@given("four gateways that share retries and four replicas of each service")
 def fleet(context):
-    context.told = start_asked(context, routers=ROUTERS, replicas=REPLICAS)
+    context.affected = start_asked(context, routers=ROUTERS, replicas=REPLICAS)
 
 
-@when("for 6 s one replica of each service says that it leaves, and its record does not")
+@when("for 6 s one replica of each service reports that it is leaving, and its record does not")
 def one_leaves(context):
-    for replica in context.told:
+    for replica in context.affected:
         replica.leaving = True
     context.callers = Callers(context.fleet.routers).run_for(6.0)
 
 
-@when("for 6 s one replica of each service turns requests away and asks for rest")
-def one_rests(context):
-    for replica in context.told:
-        replica.behaviour, replica.rest = "rest", str(REST_S)
+@when("for 6 s one replica of each service refuses requests and asks for a backoff")
+def one_backs_off(context):
+    for replica in context.affected:
+        replica.behaviour, replica.rest = "rest", str(BACKOFF_S)
     context.callers = Callers(context.fleet.routers).run_for(6.0)
 
 
-@when("for 6 s one replica of each service turns requests away")
+@when("for 6 s one replica of each service refuses requests")
 def one_refuses(context):
-    for replica in context.told:
+    for replica in context.affected:
         replica.behaviour = "refuse"
     context.callers = Callers(context.fleet.routers).run_for(6.0)
 
 
-def passed_on(context):
-    """Return when each gateway had first passed on an answer of a service's leaving replica."""
+def first_relayed(context):
+    """Return when each gateway first relayed a response of a service's leaving replica."""
     first = {}
     for asked in context.callers.asked.values():
         if asked.header("Server-Leaving"):
@@ -48,21 +48,21 @@
     return first
 
 
-@then("no gateway that passed that on sends it what callers ask for over 2 s later")
-def nothing_late(context):
-    first = passed_on(context)
+@then("no gateway that relayed the report sends it requests that callers sent over 2 s later")
+def no_late_requests(context):
+    first = first_relayed(context)
     assert {kind for _, kind in first} == {"receipt", "score"}, first
     late = [
         (identity, round(asked.sent_s - first[asked.way], 3))
-        for replica in context.told
+        for replica in context.affected
         for identity, _ in arrivals(context.callers, replica)
         if (asked := context.callers.asked[identity]).sent_s > first[asked.way] + DRAIN_S
     ]
     assert not late, (len(late), late[:5])
 
 
-def in_rests(context, replica, rest_s):
-    """Return how many requests each gateway sent within each rest that it had been asked for."""
+def sent_in_backoffs(context, replica, backoff_s):
+    """Return the number of requests that a gateway sent within each backoff asked of it."""
     asked = context.callers.asked
     got = [
         (asked[identity].router.name, at_s) for identity, at_s in arrivals(context.callers, replica)
@@ -70,27 +70,27 @@
     found = []
     for begun_s, identity in replica.asked_for_rest:
         name = asked[identity].router.name
-        first_s, last_s = begun_s + REST_NOTED_S, begun_s + rest_s
+        first_s, last_s = begun_s + BACKOFF_APPLIED_S, begun_s + backoff_s
         found.append(sum(1 for router, at_s in got if router == name and first_s < at_s < last_s))
     return found
 
 
-@then("no gateway sends it more than two requests from half a second into a rest to its end")
-def rests_kept(context):
-    for replica in context.told:
-        found = in_rests(context, replica, REST_S)
+@then("no gateway sends it more than two requests from half a second into a backoff to its end")
+def backoffs_kept(context):
+    for replica in context.affected:
+        found = sent_in_backoffs(context, replica, BACKOFF_S)
         assert found, replica.service
-        assert max(found) <= MOST_IN_REST, (replica.service, len(found), max(found))
+        assert max(found) <= MAX_IN_BACKOFF, (replica.service, len(found), max(found))
 
 
-@then("every repeatable request was answered")
+@then("every retryable request was answered")
 def all_answered(context):
     asked = context.callers.asked
     failed = [(each.path, each.status) for each in asked.values() if each.status != 200]
     assert len(asked) > 100 and not failed, (len(asked), len(failed), failed[:5])
 
 
-@when("one portal replica fails everything, and 40 statuses are asked for one after the other")
+@when("one portal replica fails all requests, and 40 statuses are requested one after the other")
 def one_fails(context):
     context.failing = context.fleet.of("portal")[0]
     context.failing.behaviour = "fail"
@@ -101,8 +101,8 @@
         caller.close()
 
 
-@then("the failing one got at most a tenth of them, and the callers got its failures as they are")
-def failing_spared(context):
+@then("the failing one got at most a tenth of them, and callers received its failures unchanged")
+def failing_gets_few(context):
     got = len(context.failing.requests)
     assert got <= len(context.statuses) / 10, got
     assert context.statuses.count(500) == got, context.statuses
--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -1,4 +1,4 @@
-"""Steps on replicas that start again under the id that they had."""
+"""Steps on replicas that restart under the same id."""
 
 import json
 import time
@@ -24,12 +24,12 @@
     return deployment.read_replica(StoreItem("servers/i-1", data, 1))
 
 
-class Listed:
-    """A registry with one replica, of which much was learnt."""
+class RegistryFixture:
+    """A registry with one replica, for which failures, slowness and segments were recorded."""
 
     def __init__(self, **fields):
         self.clock = ManualClock()
-        self.parts = SegmentTracker()
+        self.segments = SegmentTracker()
         self.gone = []
         self.registry = ReplicaRegistry(self.clock, self._on_gone)
         self.registry.update([record(**fields)])
@@ -38,67 +38,67 @@
         for _ in range(5):
             view.record_failure(now)
         view.slowness = 3.0
-        self.parts.record_sent("part", "i-1", now)
+        self.segments.record_sent("part", "i-1", now)
         self.earlier = view.incarnation
         self.registry.record_replaced(view.incarnation)
         assert not self.registry.ready("portal")
 
     def _on_gone(self, view):
         self.gone.append(view.incarnation)
-        self.parts.forget(view.identity)
+        self.segments.forget(view.identity)
 
     def view(self):
         return self.registry.view("i-1")
 
 
-@given("a replica that failed, was slow, was replaced at its address and holds parts")
-def learnt(context):
-    context.listed = [Listed(born=BORN, seq=40), Listed(seq=40)]
+@given("a replica that failed, was slow, was replaced at its address and holds prompt segments")
+def with_recorded_history(context):
+    context.fixtures = [RegistryFixture(born=BORN, seq=40), RegistryFixture(seq=40)]
 
 
-@when("its record tells of a later start, by its time or by a number that begins again")
-def started_again(context):
-    by_time, by_number = context.listed
+@when("its record shows a restart, by its start time or by a sequence number that starts over")
+def restarted(context):
+    by_time, by_number = context.fixtures
     by_time.registry.update([record(born=BORN + 9_000, seq=1, coldRemainingMs=COLD_MS)])
     by_number.registry.update([record(seq=1, coldRemainingMs=COLD_MS)])
 
 
-@then("it is a new replica: ready, cold as it says, without failures, parts or connections")
-def new_replica(context):
-    for listed in context.listed:
-        assert len(listed.registry.ready("portal")) == 1
-        view = listed.view()
-        now = listed.clock.monotonic_ms()
-        assert view.incarnation != listed.earlier and listed.gone == [listed.earlier]
+@then("it is ready, cold as its record states, without failures, prompt segments or connections")
+def is_new(context):
+    for fixture in context.fixtures:
+        assert len(fixture.registry.ready("portal")) == 1
+        view = fixture.view()
+        now = fixture.clock.monotonic_ms()
+        assert view.incarnation != fixture.earlier and fixture.gone == [fixture.earlier]
         assert view.failure_rate(now) == 0 and view.slowness == 1.0
         assert view.is_cold(now, 0) and not view.is_cold(now + COLD_MS, 0)
-        assert not listed.parts.holders("part")
+        assert not fixture.segments.holders("part")
 
 
-@when("it has started again, and messages on the earlier start still come")
-def earlier_messages(context):
-    started_again(context)
-    for listed in context.listed:
-        listed.registry.record_replaced(listed.earlier, "router-2")
+@when("it has restarted, and messages about the earlier incarnation still arrive")
+def late_messages(context):
+    restarted(context)
+    for fixture in context.fixtures:
+        fixture.registry.record_replaced(fixture.earlier, "router-2")
         context.placed = [
-            listed.registry.view_of_incarnation(listed.earlier) for listed in context.listed
+            fixture.registry.view_of_incarnation(fixture.earlier) for fixture in context.fixtures
         ]
 
 
-@then("they change nothing of it")
-def nothing_changed(context):
+@then("they do not change the new incarnation")
+def unchanged(context):
     assert context.placed == [None, None]
-    new_replica(context)
-    for listed in context.listed:
-        incarnation = listed.view().incarnation
-        assert listed.registry.view_of_incarnation(incarnation) is listed.view()
-        # The same record again, with a higher number, is the same start.
-        listed.registry.update([record(born=BORN + 9_000 if "@" in incarnation else 0, seq=2)])
-        assert listed.view().incarnation == incarnation, (incarnation, listed.view().incarnation)
+    is_new(context)
+    for fixture in context.fixtures:
+        incarnation = fixture.view().incarnation
+        assert fixture.registry.view_of_incarnation(incarnation) is fixture.view()
+        # The same record with a higher number is of the same incarnation.
+        fixture.registry.update([record(born=BORN + 9_000 if "@" in incarnation else 0, seq=2)])
+        assert fixture.view().incarnation == incarnation, (incarnation, fixture.view().incarnation)
 
 
-@given("a gateway that met another replica at the address of the only one")
-def met_another(context):
+@given("a gateway that found another replica at the address of the only one")
+def found_another(context):
     start(context)
     context.old = context.fleet.of("portal")[0]
     context.old.born = SystemClock().now_ms() - 60_000
@@ -109,8 +109,8 @@
     assert eventually(lambda: context.router.find("replica.replaced"))
 
 
-@when("that one starts again under its id at a new address")
-def new_address(context):
+@when("the replica restarts under its id at a new address")
+def restarts_elsewhere(context):
     again = context.fleet.add_replica("portal", identity=context.identity, born=now_ms())
     assert again.address != context.old.address
 
@@ -119,9 +119,9 @@
     return SystemClock().now_ms()
 
 
-@then("it gets the next receipts, within the time of a change of the list")
+@then("it gets the next receipts within the time of a list update")
 def gets_receipts(context):
     begun = time.monotonic()
     assert eventually(lambda: ask(context.router, "/receipt/3") == 200, 30.0)
-    # It was left out for 15 s before; a change of the list takes a fraction of a second.
+    # It used to be excluded for 15 s; a list update takes a fraction of a second.
     assert time.monotonic() - begun < 10.0
--- a/features/steps/replica_limit_answers_steps.py
+++ b/features/steps/replica_limit_answers_steps.py
@@ -25,7 +25,7 @@
 from aspengate.telemetry import NullCounters
 from gateway_world import in_background
 from replica_statements_steps import (
-    Listed,
+    RegistryFixture,
     SlowPool,
     _Candidate,
     _Chooser,
@@ -152,7 +152,7 @@
 
 @given("a gateway that has chosen a replica without a limit, whose connection comes up slowly")
 def chosen_unlimited(context):
-    listed = context.listed = Listed(["i-1"])
+    listed = context.listed = RegistryFixture(["i-1"])
     shares = RouterShares("router-1", listed.clock)
     shares.know([], 1)
     listed.clock.advance(60_000)
@@ -235,13 +235,13 @@
 
 @given("a replica that named a limit in an answer")
 def named_once(context):
-    context.listed = Listed(["i-1"])
+    context.listed = RegistryFixture(["i-1"])
     context.told = []
     listed = context.listed
     listed.registry = ReplicaRegistry(
         listed.clock, lambda _: None, lambda life, limit: context.told.append((life, limit.number))
     )
-    listed.write()
+    listed.list_records()
     listed.clock.advance(1_000)
     context.named_ms = listed.clock.monotonic_ms()
     listed.registry.record_notice(listed.view("i-1"), LIMITED, context.named_ms - 10)
@@ -389,18 +389,18 @@
 @then("its limit outlives a lapse of its record, and not another start")
 def lapse_and_start(context):
     listed = context.listed
-    listed.write([])
+    listed.list_records([])
     assert not listed.registry.any_limited
-    listed.write()
+    listed.list_records()
     assert listed.registry.any_limited and limit_of(context).per_second == 2.0
     listed.born += 9_000
-    listed.write()
+    listed.list_records()
     assert limit_of(context) == ReportedLimit()
 
 
 @given("a router that has not read the list of replicas")
 def not_read(context):
-    context.listed = Listed(["i-1", "i-2"])
+    context.listed = RegistryFixture(["i-1", "i-2"])
     context.listed.registry = ReplicaRegistry(context.listed.clock, lambda _: None)
 
 
@@ -410,7 +410,7 @@
     for number, per_second in ((1, 2.0), (2, 0.5), (1, 2.0)):
         listed.registry.record_peer_limit(f"i-1@{listed.born}", number, per_second)
         listed.registry.record_peer_limit("i-2@1", number, per_second)
-    listed.write()
+    listed.list_records()
 
 
 @then("the later limit holds, for the start that it was told of alone")
@@ -427,7 +427,7 @@
     shares = RouterShares("router-0", context.clock)
     shares.know([f"router-{number}" for number in range(1, 9)], 9)
     identity = next(f"i-{n}" for n in range(100) if "router-0" not in shares.first(f"i-{n}"))
-    context.view = Listed([identity]).view(identity)
+    context.view = RegistryFixture([identity]).view(identity)
     context.first, context.second = shares.first(identity)
     context.holders = PermitHolders(shares, context.clock)
 
--- a/features/steps/replica_statements_steps.py
+++ b/features/steps/replica_statements_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what replicas say of themselves in their answers."""
+"""Steps on the state that replicas report in their responses."""
 
 import json
 
@@ -18,17 +18,17 @@
 from gateway_world import TOKENS, start
 
 BORN = 1_790_000_000_000
-REST_MS = 3_000.0
+BACKOFF_MS = 3_000.0
 LEAVING = ReplicaNotice(leaving=True)
-RESTING = ReplicaNotice(backoff_ms=REST_MS)
+BACKING_OFF = ReplicaNotice(backoff_ms=BACKOFF_MS)
 
 
 def replica(identity, *, born=BORN, number=1, service="portal"):
     return Replica(identity, service, "127.0.0.1:9", born_ms=born, number=number)
 
 
-class Listed:
-    """A registry with replicas of which some tell the time of their start and some don't."""
+class RegistryFixture:
+    """A registry of listed replicas, whose records have a start time unless ``born`` is 0."""
 
     def __init__(self, identities, born=BORN):
         self.clock = ManualClock()
@@ -36,9 +36,9 @@
         self.number = 1
         self.identities = identities
         self.registry = ReplicaRegistry(self.clock, lambda _: None)
-        self.write()
+        self.list_records()
 
-    def write(self, identities=None):
+    def list_records(self, identities=None):
         self.number += 1
         listed = self.identities if identities is None else identities
         self.registry.update([replica(each, born=self.born, number=self.number) for each in listed])
@@ -46,173 +46,179 @@
     def view(self, identity):
         return self.registry.view(identity)
 
-    def say(self, identity, notice):
+    def report(self, identity, notice):
         self.registry.record_notice(self.view(identity), notice)
 
-    def open(self):
+    def ready_ids(self):
         return {view.identity for view in self.registry.ready("portal")}
 
 
-@given("a registry with a replica that said that it leaves, and one that asked for 3 s of rest")
-def said_both(context):
-    context.listed = [Listed(["i-1", "i-2"]), Listed(["i-1", "i-2"], born=0)]
+@given("a registry with a replica that reported leaving, and one that asked for a 3 s backoff")
+def with_reported_state(context):
+    context.fixtures = [RegistryFixture(["i-1", "i-2"]), RegistryFixture(["i-1", "i-2"], born=0)]
     context.earlier = []
-    for listed in context.listed:
-        listed.say("i-1", LEAVING)
-        listed.say("i-2", RESTING)
-        assert listed.open() == set()
-        context.earlier.append(listed.view("i-1"))
+    for fixture in context.fixtures:
+        fixture.report("i-1", LEAVING)
+        fixture.report("i-2", BACKING_OFF)
+        assert fixture.ready_ids() == set()
+        context.earlier.append(fixture.view("i-1"))
 
 
-@given("a registry with a replica that has said nothing")
-def said_nothing(context):
-    context.listed = [Listed(["i-1"]), Listed(["i-1"], born=0)]
-    context.earlier = [listed.view("i-1") for listed in context.listed]
+@given("a registry with a replica that has reported no state")
+def without_reported_state(context):
+    context.fixtures = [RegistryFixture(["i-1"]), RegistryFixture(["i-1"], born=0)]
+    context.earlier = [fixture.view("i-1") for fixture in context.fixtures]
 
 
-@when("both records lapse and come back under the same start, and still read ready")
-def lapse_and_return(context):
-    for listed in context.listed:
-        listed.write([])
-        listed.write()
+@when("both records lapse and return with the same start time, and are still marked ready")
+def records_lapse_and_return(context):
+    for fixture in context.fixtures:
+        fixture.list_records([])
+        fixture.list_records()
 
 
-@when("both give usual answers, and their records are written again")
-def usual_answers(context):
-    for listed in context.listed:
-        for identity in listed.identities:
-            listed.say(identity, ReplicaNotice())
-        listed.write()
+@when("both send ordinary responses, and their records are written again")
+def ordinary_responses(context):
+    for fixture in context.fixtures:
+        for identity in fixture.identities:
+            fixture.report(identity, ReplicaNotice())
+        fixture.list_records()
 
 
-@then("the first one gets nothing, and the second one nothing before its rest has ended")
-def statements_hold(context):
-    for listed in context.listed:
-        assert listed.open() == set(), listed.open()
-        listed.clock.advance(REST_MS - 1)
-        assert listed.open() == set(), listed.open()
-        listed.clock.advance(1)
-        assert listed.open() == {"i-2"}, listed.open()
+@then("the first one gets no requests, and the second one none before its backoff has ended")
+def reported_state_applies(context):
+    for fixture in context.fixtures:
+        assert fixture.ready_ids() == set(), fixture.ready_ids()
+        fixture.clock.advance(BACKOFF_MS - 1)
+        assert fixture.ready_ids() == set(), fixture.ready_ids()
+        fixture.clock.advance(1)
+        assert fixture.ready_ids() == {"i-2"}, fixture.ready_ids()
 
 
-@when("its record lapses, an answer of it says that it leaves, and the record comes back")
-def notice_in_between(context):
-    for listed, earlier in zip(context.listed, context.earlier, strict=True):
-        listed.write([])
-        listed.registry.record_notice(earlier, LEAVING)
-        listed.write()
+@when("its record lapses, one of its responses reports leaving, and the record returns")
+def notice_during_lapse(context):
+    for fixture, earlier in zip(context.fixtures, context.earlier, strict=True):
+        fixture.list_records([])
+        fixture.registry.record_notice(earlier, LEAVING)
+        fixture.list_records()
 
 
-@then("it gets nothing")
-def gets_nothing(context):
-    for listed in context.listed:
-        assert listed.open() == set()
+@then("it gets no requests")
+def gets_no_requests(context):
+    for fixture in context.fixtures:
+        assert fixture.ready_ids() == set()
 
 
-@when("both start again under their ids, by a later time or a number that begins anew")
-def start_again(context):
-    by_time, by_number = context.listed
-    by_time.write([])
+@when("both restart under their ids, with a later start time or a sequence number that starts over")
+def both_back_offart(context):
+    by_time, by_number = context.fixtures
+    by_time.list_records([])
     by_time.born += 9_000
-    by_time.write()
+    by_time.list_records()
     by_number.number = -1
-    by_number.write()
+    by_number.list_records()
 
 
-@then("both take requests, and what an answer of the earlier start still says changes nothing")
-def open_again(context):
-    for listed, earlier in zip(context.listed, context.earlier, strict=True):
-        assert listed.open() == {"i-1", "i-2"}, listed.open()
-        listed.registry.record_notice(earlier, LEAVING)
-        assert listed.open() == {"i-1", "i-2"}, listed.open()
+@then("both take requests, and a late response of the earlier incarnation does not change that")
+def both_available(context):
+    for fixture, earlier in zip(context.fixtures, context.earlier, strict=True):
+        assert fixture.ready_ids() == {"i-1", "i-2"}, fixture.ready_ids()
+        fixture.registry.record_notice(earlier, LEAVING)
+        assert fixture.ready_ids() == {"i-1", "i-2"}, fixture.ready_ids()
 
 
 @when("the machine is suspended for 3 s")
-def suspended(context):
-    # The daemons' clock counts a suspension, as suspension.feature shows.
-    for listed in context.listed:
-        listed.clock.advance(REST_MS)
+def machine_suspended(context):
+    # The daemons' clock advances during a suspension, which suspension.feature tests.
+    for fixture in context.fixtures:
+        fixture.clock.advance(BACKOFF_MS)
 
 
 @then("the second one takes requests again")
-def second_open(context):
-    for listed in context.listed:
-        assert listed.open() == {"i-2"}
+def second_available(context):
+    for fixture in context.fixtures:
+        assert fixture.ready_ids() == {"i-2"}
 
 
 @when("it asks for 3 s, then for 1 s, and once for 1e9 s")
-def several_rests(context):
-    for listed in context.listed:
-        listed.say("i-1", RESTING)
-        listed.say("i-1", ReplicaNotice(backoff_ms=1_000.0))
+def several_backoffs(context):
+    for fixture in context.fixtures:
+        fixture.report("i-1", BACKING_OFF)
+        fixture.report("i-1", ReplicaNotice(backoff_ms=1_000.0))
 
 
-@then("its rest ends after the longest of these, or after ten minutes")
-def longest_rest(context):
-    for listed in context.listed:
-        assert listed.registry.backoff_left_ms("portal") == REST_MS
-        listed.say("i-1", ReplicaNotice(backoff_ms=1e12))
-        assert listed.registry.backoff_left_ms("portal") == MAX_BACKOFF_MS == 600_000
+@then("its backoff ends after the longest of these, or after ten minutes")
+def longest_backoff(context):
+    for fixture in context.fixtures:
+        assert fixture.registry.backoff_left_ms("portal") == BACKOFF_MS
+        fixture.report("i-1", ReplicaNotice(backoff_ms=1e12))
+        assert fixture.registry.backoff_left_ms("portal") == MAX_BACKOFF_MS == 600_000
 
 
-@given('an answer with "{value}" in Retry-After')
-def answer_with(context, value):
+@given('a response with "{value}" in Retry-After')
+def response_with_retry_after(context, value):
     headers = [("Retry-After", value), ("Content-Length", "0")]
     context.answer = ReplicaAnswer(None, h11.Response(status_code=503, headers=headers))
 
 
-@then("the time that it asks for is {ms:d} ms")
-def asked_ms(context, ms):
+@then("the backoff that it asks for is {ms:d} ms")
+def backoff_is(context, ms):
     assert context.answer.retry_after_ms == ms, context.answer.retry_after_ms
 
 
-@given("any series of notices, lapses, returns and times")
-def any_series(context):
+@given("any sequence of notices, record lapses, record returns and delays")
+def any_sequence(context):
     notice = st.builds(
         ReplicaNotice,
         leaving=st.booleans(),
-        backoff_ms=st.sampled_from([0.0, 500.0, REST_MS, 1e12]),
+        backoff_ms=st.sampled_from([0.0, 500.0, BACKOFF_MS, 1e12]),
     )
     context.steps = st.lists(
         st.one_of(notice, st.sampled_from(["lapse", "return"]), st.floats(0, 4_000)), max_size=20
     )
 
 
-@then("no start is open once it has left, or before the end of the longest rest it asked for")
-def never_open(context):
+@then("no incarnation is available after it reported leaving, or before its longest backoff ends")
+def never_available(context):
     @given_any(context.steps, st.sampled_from([0, BORN]))
     def check(steps, born):
-        listed = Listed(["i-1"], born=born)
-        view = listed.view("i-1")
-        left, rest_until = False, 0.0
+        fixture = RegistryFixture(["i-1"], born=born)
+        view = fixture.view("i-1")
+        left, backoff_until = False, 0.0
         for step in steps:
-            now = listed.clock.monotonic_ms()
+            now = fixture.clock.monotonic_ms()
             if isinstance(step, ReplicaNotice):
-                listed.registry.record_notice(view, step)
+                fixture.registry.record_notice(view, step)
                 left = left or step.leaving
                 if step.backoff_ms:
-                    rest_until = max(rest_until, now + min(step.backoff_ms, MAX_BACKOFF_MS))
+                    backoff_until = max(backoff_until, now + min(step.backoff_ms, MAX_BACKOFF_MS))
             elif isinstance(step, float):
-                listed.clock.advance(step)
+                fixture.clock.advance(step)
             else:
-                listed.write([] if step == "lapse" else None)
-            now = listed.clock.monotonic_ms()
-            assert not (listed.open() and (left or now < rest_until)), (step, left, rest_until)
-        listed.write()
-        assert bool(listed.open()) is not (left or listed.clock.monotonic_ms() < rest_until)
+                fixture.list_records([] if step == "lapse" else None)
+            now = fixture.clock.monotonic_ms()
+            assert not (fixture.ready_ids() and (left or now < backoff_until)), (
+                step,
+                left,
+                backoff_until,
+            )
+        fixture.list_records()
+        assert bool(fixture.ready_ids()) is not (
+            left or fixture.clock.monotonic_ms() < backoff_until
+        )
 
     check()
 
 
-SAYING = {
-    "a whole answer": ("portal", "well"),
-    "the head of a stream that runs": ("engine", "well"),
-    "a failure of its own": ("portal", "fail"),
+REPORTS = {
+    "a complete response": ("portal", "well"),
+    "the head of a running stream": ("engine", "well"),
+    "a failure of the replica": ("portal", "fail"),
     "a refusal": ("portal", "refuse"),
-    "an answer that is cut": ("portal", "end early"),
-    "a run whose caller has left": ("engine", "well"),
+    "a truncated response": ("portal", "end early"),
+    "a run whose caller disconnected": ("engine", "well"),
     "a 421": ("portal", "well"),
-    "a success that nobody signed": ("portal", "unsigned leaving"),
+    "a success without a signature": ("portal", "unsigned leaving"),
 }
 
 
@@ -226,9 +232,9 @@
         caller.close()
 
 
-@when("{answer} says that its replica leaves")
-def answer_says(context, answer):
-    service, behaviour = SAYING[answer]
+@when("{answer} reports that its replica is leaving")
+def response_reports_leaving(context, answer):
+    service, behaviour = REPORTS[answer]
     both = context.fleet.of(service)
     for each in both:
         each.leaving, each.behaviour = True, behaviour
@@ -236,16 +242,16 @@
     if answer == "a 421":
         for each in both:
             each.identity = f"{each.identity}-another"
-    if answer == "the head of a stream that runs":
+    if answer == "the head of a running stream":
         for each in both:
             each.events, each.pause_s = 1_000, 0.05
-    if answer in ("the head of a stream that runs", "a run whose caller has left"):
+    if answer in ("the head of a running stream", "a run whose caller disconnected"):
         for each in both:
             each.events, each.pause_s = 1_000, 0.05
         caller = context.router.call()
         caller.send("POST", path, tokens=TOKENS, body=b"essay", deadline_ms=30_000)
         caller.read_head()
-        if answer == "a run whose caller has left":
+        if answer == "a run whose caller disconnected":
             caller.close()
         context.cleanup.callback(caller.close)
     else:
@@ -253,35 +259,37 @@
             request(context, path)
         except OSError:
             pass
-    context.said = next(each for each in both if each.requests)
-    context.other = next(each for each in both if each is not context.said)
+    context.reporting = next(each for each in both if each.requests)
+    context.other = next(each for each in both if each is not context.reporting)
     context.other.leaving, context.other.behaviour = False, "well"
     context.other.events = 5
     context.path = path
 
 
-@then("the gateway tells so at once, sends it nothing more, and keeps no connection to it")
-def told_and_left(context):
+@then("the gateway logs it at once, sends no more requests, and keeps no idle connection to it")
+def logged_and_unused(context):
     line = eventually(lambda: context.router.find("replica.leaving"))
-    assert line["replica"] == context.said.identity, line
-    before = len(context.said.requests)
+    assert line["replica"] == context.reporting.identity, line
+    before = len(context.reporting.requests)
     for number in range(20):
         path = context.path if context.path.startswith("/score") else f"/receipt/{number}"
         assert request(context, path).status == 200
-    assert len(context.said.requests) == before
-    # The stream that runs keeps its own connection; nothing waits on another one.
-    running = 1 if context.said.events == 1_000 and context.said.behaviour == "well" else 0
-    assert eventually(lambda: context.said.open_connections <= running, 10.0)
+    assert len(context.reporting.requests) == before
+    # The running stream keeps its connection; there is no idle one.
+    running = (
+        1 if context.reporting.events == 1_000 and context.reporting.behaviour == "well" else 0
+    )
+    assert eventually(lambda: context.reporting.open_connections <= running, 10.0)
 
 
-@then("the gateway does not take it for one that leaves")
-def not_taken(context):
+@then("the gateway does not treat it as leaving")
+def not_leaving(context):
     assert eventually(lambda: context.router.find("request.ended"))
     assert context.router.find("replica.leaving") is None
 
 
 class SlowPool:
-    """A pool whose connections come up after ``before`` has been called."""
+    """A connection pool that calls ``before`` while it opens a connection."""
 
     def __init__(self, before):
         self.before = before
@@ -302,17 +310,17 @@
         self.closed += 1
 
 
-@given("a gateway that has chosen a replica for a request, whose connection comes up slowly")
-def chosen(context):
+@given("a gateway that has chosen a replica for a request and is still connecting to it")
+def replica_chosen(context):
     start(context, replicas=2)
 
 
-@when("another answer says that this replica leaves before the first byte has gone")
-def says_in_between(context):
-    listed = Listed(["i-1"])
-    view = listed.view("i-1")
-    pool = SlowPool(lambda _: listed.registry.record_notice(view, LEAVING))
-    parts = AttemptParts(_Spelling(), pool, listed.clock, _Chooser(), listed.registry)
+@when("another response reports that this replica is leaving before the first byte is sent")
+def reports_leaving_before_send(context):
+    fixture = RegistryFixture(["i-1"])
+    view = fixture.view("i-1")
+    pool = SlowPool(lambda _: fixture.registry.record_notice(view, LEAVING))
+    parts = AttemptParts(_Spelling(), pool, fixture.clock, _Chooser(), fixture.registry)
     settled = []
     attempt = Attempt(parts, _Exchange(), _Candidate(view), None, _Permit(settled), "i-1")
     try:
@@ -322,10 +330,10 @@
         context.raised = error
     attempt.end("x", failed=False)
     context.attempt, context.pool, context.settled = attempt, pool, settled
-    context.availability = listed.registry.availability(view)
+    context.availability = fixture.registry.availability(view)
 
 
-@then("the request goes to the other one, without a second arrival, and a repeat is given back")
+@then("the request goes to another replica without a second arrival, and its retry is returned")
 def not_sent(context):
     assert context.raised is not None and not context.raised.sent
     assert not context.attempt.sent and not context.pool.sent and context.pool.closed == 1
@@ -380,15 +388,15 @@
             self.settled.append(sent)
 
 
-@when("one engine says that it leaves, and a stream breaks at the other one")
+@when("one engine reports that it is leaving, and a stream breaks at the other one")
 def stream_breaks(context):
-    # The one that is asked first is chosen again for the same prompt.
+    # The replica of the first request is chosen again for the same prompt.
     assert request(context, "/score/1").status == 200
     one, other = sorted(context.fleet.of("engine"), key=lambda each: not each.requests)
     one.leaving = True
     assert request(context, "/score/1").status == 200
     assert eventually(lambda: context.router.find("replica.leaving"))
-    context.said, context.before = one, len(one.requests)
+    context.reporting, context.before = one, len(one.requests)
     other.behaviour = "break off"
     try:
         request(context, "/score/2")
@@ -396,20 +404,20 @@
         pass
 
 
-@then("the one that leaves gets no part of it")
-def no_part(context):
-    assert len(context.said.requests) == context.before
+@then("the leaving engine gets no part of the stream")
+def no_stream_part(context):
+    assert len(context.reporting.requests) == context.before
 
 
-@when("both portal replicas ask for rest, one for 3 s and one for 60 s")
-def both_rest(context):
-    for each, rest in zip(context.fleet.of("portal"), ("3", "60"), strict=True):
-        each.behaviour, each.rest = "rest", rest
+@when("both portal replicas ask for a backoff, one for 3 s and one for 60 s")
+def both_back_off(context):
+    for each, backoff_s in zip(context.fleet.of("portal"), ("3", "60"), strict=True):
+        each.behaviour, each.rest = "rest", backoff_s
     while not all(each.requests for each in context.fleet.of("portal")):
         assert request(context, "/status/1").status == 503
 
 
-@when("both portal replicas say that they leave")
+@when("both portal replicas report that they are leaving")
 def both_leave(context):
     for each in context.fleet.of("portal"):
         each.leaving = True
@@ -427,32 +435,32 @@
     return line
 
 
-@then("the next receipt is refused at once and not sent, with a time to come back of 3 to 4 s")
-def refused_resting(context):
+@then("the next receipt is refused at once and not sent, with a Retry-After of 3 to 4 s")
+def refused_backing_off(context):
     line = next_receipt(context)
     assert line["outcome"] == "resting", line
-    # The rest has begun a moment before, and callers come back over a quarter of it.
+    # The backoff began a moment before, and Retry-After is spread over a quarter of it.
     assert 0 < float(context.answer.header("Retry-After")) <= 4.0, context.answer.headers
 
 
-@then("the story of that receipt names both replicas and what they asked for")
-def story(context):
-    told = read_lines("router-1", [json.dumps(line) for line in context.router.lines])
-    text = "\n".join(tell_story("next-receipt", told).lines())
+@then("the trace of that receipt shows both replicas and the backoffs that they asked for")
+def trace_shows_backoffs(context):
+    lines = read_lines("router-1", [json.dumps(line) for line in context.router.lines])
+    text = "\n".join(tell_story("next-receipt", lines).lines())
     for each, asked_ms in zip(context.fleet.of("portal"), (3_000, 60_000), strict=True):
         assert f"replica.rests  replica={each.identity}" in text, text
         assert f"asked_ms={asked_ms}" in text, text
 
 
-@then("the next receipt is refused at once and not sent, with a time to come back of 2 s")
+@then("the next receipt is refused at once and not sent, with a Retry-After of 2 s")
 def refused_leaving(context):
     line = next_receipt(context)
     assert line["outcome"] == "no_upstream" and "said that it leaves" in line["reason"], line
     assert context.answer.header("Retry-After") == "2"
 
 
-@when("one portal replica says that it leaves, and the other one asks for 60 s of rest")
-def one_of_each(context):
+@when("one portal replica reports that it is leaving, and the other one asks for a 60 s backoff")
+def one_leaves_one_backs_off(context):
     one, other = context.fleet.of("portal")
     one.leaving = True
     other.behaviour, other.rest = "rest", "60"
@@ -460,8 +468,8 @@
         request(context, "/status/1")
 
 
-@then("the figures tell of one that leaves and one that rests")
-def figures(context):
+@then("the metrics show one replica that is leaving and one that is backing off")
+def metrics_count_both(context):
     text = Caller(context.router.metrics_address).request("GET", "/metrics").body.decode()
     found = [
         line.rpartition(" ")[2]
