--- a/features/gateway_configuration.feature
+++ b/features/gateway_configuration.feature
@@ -1,29 +1,29 @@
-Feature: The newest configuration is in force, and never an older one
+Feature: The gateway applies the latest configuration and never an older one
 
-  Scenario: Routes and keys come and go
+  Scenario: Routes and keys are added and removed
     Given a gateway before one replica of each service
-    When a route is added and a key is taken away
+    When a route is added and a key is revoked
     Then the route is served and the key is refused with 401 soon
-    And an unknown path is answered 404 and a call without a key 401
+    And an unknown path gets 404 and a call without a key gets 401
 
-  Scenario: Before any configuration is known a gateway answers 503 and is not ready
-    Given a gateway that knows no configuration
-    Then it is not ready, and a call gets 503 with the time to come back
-    And it serves once the operator has written one
+  Scenario: A gateway without a configuration responds with 503 and is not ready
+    Given a gateway without a configuration
+    Then it is not ready, and a call gets 503 with Retry-After
+    And it serves once the operator has written a configuration
 
   Scenario: A lower version does not replace a higher one
     Given a gateway before one replica of each service
-    When a change is in force and the store then shows the version before
-    Then the change stays in force
+    When a change has taken effect and the store then returns the previous version
+    Then the change stays in effect
 
-  Scenario: History that is gone is read again
+  Scenario: The state is read again after the store has compacted its history
     Given a gateway before one replica of each service
-    When the store forgets its history while a route is added
+    When the store compacts its history while a route is added
     Then the route is served soon
 
-  Scenario Outline: A router that the store turns away learns from its peers
-    Given two gateways with a door to the store each
-    When the second one's door is "<fault>" and a key is taken away
+  Scenario Outline: A router without access to the store receives changes from its peers
+    Given two gateways with separate store proxies
+    When the second one's proxy is "<fault>" and a key is revoked
     Then both refuse the key soon
 
     Examples:
@@ -32,27 +32,27 @@
       | reset  |
       | silent |
 
-  Scenario: A router that starts while the store turns it away begins to serve
-    Given two gateways with a door to the store each
-    When a third one starts with a busy door and the first as its seed
+  Scenario: A router that starts without access to the store serves requests
+    Given two gateways with separate store proxies
+    When a third one starts with a busy proxy and the first as its seed
     Then it is ready and serves
 
-  Scenario: A replica that drains or is gone gets nothing more
+  Scenario: A replica that drains or is unlisted receives no more requests
     Given a gateway before two replicas of each service
-    When one portal replica drains and then is unlisted
+    When one portal replica drains and is then unlisted
     Then all receipts go to the other one
 
-  Scenario: A replica that comes is used
+  Scenario: A new replica receives requests
     Given a gateway before one replica of each service
     When another portal replica is listed and the first one is unlisted
     Then all receipts go to the new one
 
-  Scenario: A router that lost the store makes sure of the next watch before it trusts it
+  Scenario: A mirror that lost the store counts as connected only after a watch is answered
     Given a mirror of a store that fails once
     When it follows the store
     Then watches are short ones until one is answered, and the mirror is connected after it
 
-  Scenario: Connections notice another side that has gone silent
+  Scenario: Connections detect an unresponsive peer
     Given a stand-in store and a stand-in replica
     When connections to both are opened
     Then the system gives up on both after seconds, with and without bytes under way
--- a/features/steps/framing_steps.py
+++ b/features/steps/framing_steps.py
@@ -342,6 +342,6 @@
         assert splitter.remainder == rest
         assert len(found) == len(events)
         for each, sent in zip(found, events, strict=True):
-            assert each.identity == sent.split(b"id: ")[1].split()[0].decode()
+            assert each.event_id == sent.split(b"id: ")[1].split()[0].decode()
 
     check()
--- a/features/steps/gateway_configuration_steps.py
+++ b/features/steps/gateway_configuration_steps.py
@@ -1,4 +1,4 @@
-"""Steps on configuration, discovery and what routers tell each other."""
+"""Steps on configuration, discovery of replicas, and exchange between routers."""
 
 from behave import given, then, when
 from platform_standins import Fleet
@@ -12,7 +12,7 @@
     return router.call().request("GET", path, **fields).status
 
 
-@when("a route is added and a key is taken away")
+@when("a route is added and a key is revoked")
 def route_and_key(context):
     context.fleet.operator.add_route(route("/new/", "portal"))
     context.fleet.operator.revoke("key-two")
@@ -24,36 +24,36 @@
     assert eventually(lambda: status_of(context.router, key="key-two") == 401)
 
 
-@then("an unknown path is answered 404 and a call without a key 401")
-def unknown(context):
+@then("an unknown path gets 404 and a call without a key gets 401")
+def unknown_path_and_missing_key(context):
     assert status_of(context.router, "/nowhere/1") == 404
     assert status_of(context.router, key="") == 401
     assert status_of(context.router, host="other.example") == 404
 
 
-@given("a gateway that knows no configuration")
+@given("a gateway without a configuration")
 def no_configuration(context):
     context.fleet = Fleet(context.cleanup)
     context.fleet.add_replica("portal")
     context.router = context.fleet.add_router(ready=False)
 
 
-@then("it is not ready, and a call gets 503 with the time to come back")
+@then("it is not ready, and a call gets 503 with Retry-After")
 def not_ready(context):
     assert not context.router.is_ready()
     answer = context.router.call().request("GET", "/receipt/1")
     assert answer.status == 503 and answer.header("Retry-After")
 
 
-@then("it serves once the operator has written one")
-def serves_then(context):
+@then("it serves once the operator has written a configuration")
+def serves_after_configuration(context):
     context.fleet.operator.write()
     assert eventually(context.router.is_ready)
     assert eventually(lambda: status_of(context.router) == 200)
 
 
-@when("a change is in force and the store then shows the version before")
-def shows_older(context):
+@when("a change has taken effect and the store then returns the previous version")
+def previous_version_returned(context):
     operator = context.fleet.operator
     before = operator.configuration
     operator.add_route(route("/new/", "portal"))
@@ -70,14 +70,14 @@
     assert count == 2
 
 
-@then("the change stays in force")
-def stays(context):
+@then("the change stays in effect")
+def change_stays(context):
     for _ in range(20):
         assert status_of(context.router, "/new/1") == 200
 
 
-@when("the store forgets its history while a route is added")
-def forgets(context):
+@when("the store compacts its history while a route is added")
+def history_compacted(context):
     context.fleet.operator.add_route(route("/new/", "portal"))
     context.fleet.store.forget_history()
 
@@ -87,15 +87,15 @@
     assert eventually(lambda: status_of(context.router, "/new/1") == 200)
 
 
-@given("two gateways with a door to the store each")
+@given("two gateways with separate store proxies")
 def two_gateways(context):
     start(context, routers=2, **REPEATS)
     first, second = context.fleet.routers
     assert eventually(lambda: first.find("member.heard") and second.find("member.heard"))
 
 
-@when('the second one\'s door is "{fault}" and a key is taken away')
-def second_door(context, fault):
+@when('the second one\'s proxy is "{fault}" and a key is revoked')
+def second_proxy_fails(context, fault):
     context.fleet.routers[1].door.fault = fault
     context.fleet.operator.revoke("key-two")
 
@@ -106,8 +106,8 @@
         assert eventually(lambda router=router: status_of(router, key="key-two") == 401)
 
 
-@when("a third one starts with a busy door and the first as its seed")
-def third_starts(context):
+@when("a third one starts with a busy proxy and the first as its seed")
+def third_gateway_starts(context):
     door = context.fleet.store.open_door()
     door.fault = "busy"
     seed = context.fleet.routers[0].peer_address
@@ -120,8 +120,8 @@
     assert status_of(context.router) == 200
 
 
-@when("one portal replica drains and then is unlisted")
-def drains(context):
+@when("one portal replica drains and is then unlisted")
+def replica_drains(context):
     leaving, context.staying = context.fleet.of("portal")
     leaving.list("draining")
     assert eventually(lambda: context.router.find("replica.state", replica=leaving.identity))
@@ -131,14 +131,14 @@
 
 
 @then("all receipts go to the other one")
-def go_to_the_other(context):
+def all_to_other_replica(context):
     for number in range(20):
         assert status_of(context.router, f"/receipt/{number}") == 200
     assert len(context.leaving.requests) == context.before
 
 
 @when("another portal replica is listed and the first one is unlisted")
-def comes(context):
+def replica_added(context):
     first = context.fleet.of("portal")[0]
     context.staying = context.fleet.add_replica("portal")
     first.unlist()
@@ -147,6 +147,6 @@
 
 
 @then("all receipts go to the new one")
-def go_to_the_new(context):
-    go_to_the_other(context)
+def all_to_new_replica(context):
+    all_to_other_replica(context)
     assert len(context.staying.requests) == 20
--- a/src/aspengate/gateway/_crash_records.py
+++ b/src/aspengate/gateway/_crash_records.py
@@ -93,7 +93,7 @@
         self._on_removed = on_removed
         self._rewrites_lost = rewrites_lost
         # The store revision up to which the records have been read.
-        self._loaded_revision = 0
+        self._loaded = 0
         # Records that this router wrote and the store lost before they were read back.
         self._lost: dict[str, _CachedRecord] = {}
         # Fingerprints of records that differ from the store's and have to be written.
@@ -137,8 +137,7 @@
                 stored = state.kept.stored.get(item.key, 0)
                 found[fingerprint] = replace(found[fingerprint], revision=stored)
         with self._lock:
-            before, loaded = self._records, self._loaded_revision
-            self._loaded_revision = state.revision
+            before, loaded, self._loaded = self._records, self._loaded, state.revision
             for fingerprint, cached in before.items():
                 if cached.revision > loaded and era_of(cached.revision) < era_of(state.revision):
                     self._lost[fingerprint] = cached
--- a/src/aspengate/gateway/_daemon.py
+++ b/src/aspengate/gateway/_daemon.py
@@ -1,4 +1,4 @@
-"""The gateway as a process: what it is made of, and its planned stop."""
+"""The gateway process: composition of its components, startup and planned shutdown."""
 
 import threading
 from dataclasses import replace
@@ -50,15 +50,15 @@
 from aspengate.telemetry import Counters, lasting_thread, log_change
 
 _READY_THREADS = 2
-_LONGEST_REST_MS = 6_000.0
+_MAX_IDLE_CONNECTION_MS = 6_000.0
 _RESERVED_DESCRIPTORS = 200
 _DRAIN_POLL_MS = 50.0
-# How often documents that can wait are written together, in s: a reserve of ten seconds of demand
-# is refilled in time by that, and a router that draws for all makes one call in it at most.
-_TICK_S = 1.0
-_SMALL_BODY = 64 * 1024
+# Interval in s at which deferrable documents are written together. It suffices to refill a reserve
+# of ten seconds of demand, and limits the router that draws for all to one call per interval.
+_TICK_INTERVAL_S = 1.0
+_MAX_READY_BODY_BYTES = 64 * 1024
 
-_RELOADED = frozenset(
+_RELOADABLE_SETTINGS = frozenset(
     {
         "seeds",
         "stop_s",
@@ -72,7 +72,7 @@
 
 
 class Gateway:
-    """Make it, ``start`` it, and ``leave`` for a planned stop."""
+    """Runs one gateway: ``start`` begins to serve, ``leave`` performs a planned stop."""
 
     def __init__(
         self,
@@ -91,16 +91,16 @@
         self.refusing = False
         deployment.store.era.on_rise = self._on_store_era
         self.holder = ConfigurationHolder(clock)
-        self.pool = ConnectionPool(clock, _LONGEST_REST_MS)
+        self.pool = ConnectionPool(clock, _MAX_IDLE_CONNECTION_MS)
         self.parts = PartMemory()
-        self.registry = ReplicaRegistry(clock, self._on_replica_gone, self._tell_limit)
+        self.registry = ReplicaRegistry(clock, self._on_replica_gone, self._send_limit)
         self._reader = StoreReader(deployment, self.holder, self.registry, counters)
         self.retries = SharedRetryBudget(_retry_policy(settings), clock)
         self.bounds = ReplicaBounds(
             settings.name,
             clock,
             ColdStartPolicy(settings.cold_overage, settings.cold_slack),
-            self._contact,
+            self._current_contact,
             any_limited=lambda: self.registry.limited,
         )
         self.crashes = CrashGuard(
@@ -111,7 +111,7 @@
             on_ended=lambda run: self.pool.forget(replica_of_run(run)),
             reaches_store=lambda: self.peering.reaches_store,
             is_first=lambda content: self.peering.members.is_first(content),
-            rewrites_lost=self._writes_again,
+            rewrites_lost=self._rewrites_lost,
         )
         self.mirrors = StoreMirrors(
             deployment,
@@ -132,10 +132,13 @@
             self.retries, deployment.store, lambda: self.peering.session, clock
         )
         self.log = RequestLog(clock, counters, settings.log_lines_per_second)
-        self.application = self._application()
+        self.application = self._make_application()
         self.server = self._make_server()
         self.ready_server = WsgiServer(
-            ReadyApplication(self._is_ready), settings.ready_listen, _READY_THREADS, _SMALL_BODY
+            ReadyApplication(self._is_ready),
+            settings.ready_listen,
+            _READY_THREADS,
+            _MAX_READY_BODY_BYTES,
         )
         self.holder.on_change(self._apply_configuration)
         self._suspension = SuspensionWatch(clock, counters, deployment.store.end_watches)
@@ -143,7 +146,7 @@
         self._ticker = lasting_thread(self._tick, "ticker", counters)
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start to serve requests."""
         self.mirrors.start()
         self.peering.start()
         self.crashes.start(self.peering.session)
@@ -163,16 +166,16 @@
         )
 
     def reload(self, settings: GatewaySettings) -> None:
-        """Put changed settings into force, as far as they can change while it runs.
+        """Apply changed settings that can change at run time.
 
-        Addresses, names and limits of the process hold until its next start.
+        Changes of addresses, names and process limits take effect at the next start.
         """
         changed = [
             name
             for name in settings.__dataclass_fields__
             if getattr(settings, name) != getattr(self.settings, name)
         ]
-        fixed = [name for name in changed if name not in _RELOADED]
+        fixed = [name for name in changed if name not in _RELOADABLE_SETTINGS]
         kept = {name: getattr(self.settings, name) for name in fixed}
         self.settings = replace(settings, **kept)
         self.retries.policy = _retry_policy(self.settings)
@@ -181,7 +184,7 @@
         log_change("gateway.reloaded", changed=changed, at_next_start=fixed)
 
     def gauges(self) -> dict[str, float]:
-        """Return what holds at this moment, for scrapers."""
+        """Return the current values of the gauges, by name."""
         error = self.application.dispatcher.parts.chooser.estimate_error()
         return {
             "first_token_over_expected_median": error.median,
@@ -207,11 +210,11 @@
         }
 
     def leave(self) -> bool:
-        """Finish what is in progress and stop; return whether all of it was finished.
+        """Finish requests in progress and stop; return whether all of them were finished.
 
-        First the balancer is told, while requests are served as before. Then idle connections
-        are closed, and what still comes is refused. What is in progress gets the rest of the
-        time of a planned stop.
+        First the gateway reports that it is not ready, while it still serves requests. Then it
+        closes idle connections and refuses new requests. Requests in progress get the remaining
+        time of the planned stop.
         """
         plan = StopPlan.of(self.settings.stop_s * 1_000, self.clock.monotonic_ms())
         self.leaving = True
@@ -224,13 +227,13 @@
         log_change("gateway.refusing", name=self.settings.name)
         while not self.server.is_idle and self.clock.monotonic_ms() < plan.last_ms:
             self.clock.sleep_ms(_DRAIN_POLL_MS)
-        done = self.server.is_idle
+        finished = self.server.is_idle
         self.close()
-        log_change("gateway.stopped", name=self.settings.name, finished=done)
-        return done
+        log_change("gateway.stopped", name=self.settings.name, finished=finished)
+        return finished
 
     def close(self) -> None:
-        """Stop at once; what is not in progress any more is settled."""
+        """Stop immediately, and settle the tokens of finished requests."""
         self.report.log_store_calls()
         self._closing.set()
         self.server.stop()
@@ -243,8 +246,8 @@
         self.peering.close()
         self.pool.close()
 
-    def _writes_again(self, subject: str) -> bool:
-        """Return whether this router is one of the few that write again what the store lost."""
+    def _rewrites_lost(self, subject: str) -> bool:
+        """Return whether this router is one of the few that rewrite items the store has lost."""
         members = self.peering.members
         return members.leads or members.is_first(subject)
 
@@ -254,7 +257,7 @@
         if self._closing.is_set():
             return
         if before is not None:
-            # Their answers would be of the history before.
+            # Watches that are still open would return changes of the previous era.
             self.deployment.store.end_watches()
             self.peering.handle_store_restored()
         self.tokens.restore(has_returned=before is not None)
@@ -267,7 +270,7 @@
         self.clock.sleep_ms(until_ms - self.clock.monotonic_ms())
 
     def _tick(self) -> None:
-        while not self._closing.wait(_TICK_S):
+        while not self._closing.wait(_TICK_INTERVAL_S):
             self._suspension.look()
             self.tokens.tick()
             self.report.log_if_due()
@@ -294,7 +297,7 @@
                 lambda: self.tokens,
             ),
             registry=self.registry,
-            on_count=self._on_members,
+            on_count=self._on_router_count,
         )
 
     def _make_witness(self) -> RemoteWitness:
@@ -317,7 +320,7 @@
         self.loans.on_loan = self.tokens.take_loan
         self.loans.on_failed = self.tokens.take_failed_loan
         self.loans.on_others_done = self.tokens.take_others_done
-        self.loans.reaches_store = self._can_draw
+        self.loans.reaches_store = self._store_responds
         self.peering.on_reply = self._on_reply
         self.tokens.restorer.others_restored = self.peering.members.have_restored
         self.tokens.on_restored = self.peering.announce_now
@@ -325,8 +328,8 @@
         self.tokens.writer.tell_grant = self.peering.send_grant
         self.tokens.writer.outlook = lambda: self.peering.outages.outlook
 
-    def _can_draw(self) -> bool:
-        """Return whether the store seems to answer this router."""
+    def _store_responds(self) -> bool:
+        """Return whether the store appears to respond to this router."""
         now = self.clock.monotonic_ms()
         return self.peering.reaches_store and not self.tokens.writer.seems_down(now)
 
@@ -363,7 +366,7 @@
             max_body_bytes=limits.max_body_bytes,
         )
 
-    def _application(self) -> GatewayApplication:
+    def _make_application(self) -> GatewayApplication:
         spelling = self.deployment.spelling
         chooser = ReplicaChooser(self.parts, self.settings.failure_domain)
         return GatewayApplication(
@@ -376,7 +379,7 @@
                     self.registry,
                     self.bounds,
                     LimitedChoice(
-                        self.bounds, self._make_asker(), chooser, self.clock, self.counters
+                        self.bounds, self._make_permit_client(), chooser, self.clock, self.counters
                     ),
                     chooser,
                     self.clock,
@@ -392,8 +395,8 @@
             refusing=lambda: self.refusing,
         )
 
-    def _make_asker(self) -> PermitClient:
-        asker = PermitClient(
+    def _make_permit_client(self) -> PermitClient:
+        client = PermitClient(
             lambda: self.peering.session,
             PermitHolders(self.bounds.shares, self.clock),
             self.clock,
@@ -401,10 +404,10 @@
             address_of=self.peering.members.address_of,
             send=self.peering.send,
         )
-        self.peering.on_permit = asker.handle_reply
-        return asker
+        self.peering.on_permit = client.handle_reply
+        return client
 
-    def _contact(self) -> Contact:
+    def _current_contact(self) -> Contact:
         if self.peering.reaches_store:
             return Contact.CURRENT
         return Contact.PEERS if self.peering.members.hears_leader else Contact.NONE
@@ -414,11 +417,11 @@
         self.parts.forget(view.identity)
         self.bounds.forget(view.identity)
 
-    def _tell_limit(self, life: str, limit: LimitStatement) -> None:
+    def _send_limit(self, life: str, limit: LimitStatement) -> None:
         word = LimitWord(life, limit.number, limit.per_second)
         self.peering.limits.tell(LimitNotice([word]))
 
-    def _on_members(self, count: int) -> None:
+    def _on_router_count(self, count: int) -> None:
         if self.peering.members.count_known:
             self.retries.note_routers(count)
             self.bounds.set_routers(self.peering.members.names(), count)
--- a/src/aspengate/gateway/_mirror_sharing.py
+++ b/src/aspengate/gateway/_mirror_sharing.py
@@ -1,4 +1,4 @@
-"""Has routers hear from each other what changes in the store."""
+"""Exchange of store changes between routers."""
 
 import itertools
 import random
@@ -25,27 +25,27 @@
 )
 from aspengate.telemetry import Counters, lasting_thread, log_change
 
-# How long a router waits for its own watch, or for its leader, before it asks a peer for what
-# that one told of, in ms.
-_GRACE_MS = 600.0
-_CUT_GRACE_MS = 150.0
-# Changes are sent to the failure domain in messages of up to this many bytes, since a datagram
-# holds no more than 64 KB; a single larger item is fetched. A replica's item has about 250 bytes.
-_MOST_PUSHED_BYTES = 16_384
-# Of more changes the routers of the domain are only told, and fetch them each for itself: a burst
-# of datagrams to all of them would fill links of 10 Mbit/s and get lost.
-_MOST_PUSHED_MESSAGES = 4
-# So many other peers are asked where the one that told of a change does not answer.
-_OTHER_SOURCES = 2
+# Time in ms that a router waits for its own watch or its leader to deliver a change before it
+# fetches the change from the peer that announced it.
+_FETCH_DELAY_MS = 600.0
+_DISCONNECTED_FETCH_DELAY_MS = 150.0
+# Changes are sent within the failure domain in messages of at most this size, because a datagram
+# is limited to 64 KB; a single larger item is fetched. A replica's item has about 250 bytes.
+_MAX_PUSHED_BYTES = 16_384
+# If there are more messages, the change is only announced and each router of the domain fetches
+# it: a burst of datagrams to all of them would saturate links of 10 Mbit/s and get lost.
+_MAX_PUSHED_MESSAGES = 4
+# Number of other peers that are tried if the one that announced a change does not respond.
+_FALLBACK_SOURCES = 2
 
 
 class MirrorSharing:
-    """Keeps mirrors of the store current beside, or instead of, their own watches.
+    """Updates mirrors of the store from peers, in addition to or instead of their own watches.
 
-    A router that leads its failure domain sends what its watches told to the others there. One
-    that hears of a newer change than it knows, or whose store does not answer, fetches the whole
-    state from a peer by ``client``. ``send`` sends changes to addresses, ``tell`` only that there
-    are some; ``addresses`` returns the peers that may be asked.
+    The leader of a failure domain sends the changes from its watches to the other routers there. A
+    router that is notified of a newer revision than its own, or whose store does not respond,
+    fetches the state from a peer through ``client``. ``send`` sends changes to addresses;
+    ``announce`` sends only the latest revisions. ``addresses`` returns the peers to fetch from.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         client: PeerClient,
         *,
         send: Callable[..., None],
-        tell: Callable[[Iterable[str]], None],
+        announce: Callable[[Iterable[str]], None],
         addresses: Callable[[], list[str]],
     ) -> None:
         self.mirrors = mirrors
@@ -66,108 +66,108 @@
         self._counters = counters
         self._client = client
         self._send = send
-        self._tell = tell
+        self._announce = announce
         self._addresses = addresses
-        self._behind: dict[str, tuple[str, int]] = {}
-        self._wake = threading.Event()
+        self._outdated: dict[str, tuple[str, int]] = {}
+        self._wake_event = threading.Event()
         self._closing = threading.Event()
-        self._thread = lasting_thread(self._catch_up, "peers-fetch", counters)
+        self._thread = lasting_thread(self._run, "peers-fetch", counters)
 
     @property
     def reaches_store(self) -> bool:
-        """Whether the store answers what is asked of it for the mirrors."""
+        """Whether the mirrors' watches are connected to the store."""
         return all(each.connected for each in self.mirrors.values())
 
     @property
     def revisions(self) -> dict[str, int]:
-        """The newest change that is known below each prefix."""
+        """The latest revision with a change below each prefix."""
         return {prefix: each.state.changed for prefix, each in self.mirrors.items()}
 
     def start(self) -> None:
-        """Begin to catch up, and to tell of changes."""
+        """Start to fetch and to send changes."""
         for prefix, mirror in self.mirrors.items():
             mirror.on_followed = partial(self._push, prefix)
         self._thread.start()
 
     def close(self) -> None:
-        """Stop."""
+        """Stop fetching."""
         self._closing.set()
-        self._wake.set()
+        self._wake_event.set()
 
     def wake(self) -> None:
-        """Look whether a mirror is behind, since the store does not answer this router."""
-        self._wake.set()
+        """Check for outdated mirrors, because the store does not respond to this router."""
+        self._wake_event.set()
 
     def request_fetch(self, prefix: str, revision: int, address: str) -> None:
-        """Fetch a state from a peer that knows a change at ``revision``, unless it comes first."""
+        """Fetch ``revision`` from the peer at ``address`` unless it arrives within the delay."""
         mirror = self.mirrors.get(prefix)
         if mirror is not None and revision > mirror.state.revision:
-            self._behind[prefix] = (address, revision)
-            self._wake.set()
+            self._outdated[prefix] = (address, revision)
+            self._wake_event.set()
 
     def handle_changes(self, changes: MirrorChanges, address: str) -> None:
-        """Take over what a leader tells, or fetch where something before it is not known."""
+        """Apply a leader's changes, or fetch the state if earlier changes are missing."""
         mirror = self.mirrors.get(changes.prefix)
         if mirror is None:
             return
-        told = changes.changes()
-        if mirror.apply(changes.known_before, told):
+        received = changes.changes()
+        if mirror.apply(changes.known_before, received):
             self._counters.count("mirror.pushed")
         else:
-            self.request_fetch(changes.prefix, told.revision, address)
+            self.request_fetch(changes.prefix, received.revision, address)
 
     def _push(self, prefix: str, after: int, changes: Changes) -> None:
-        """Tell the routers of this one's domain what has changed."""
+        """Send changes to the other routers of this failure domain."""
         if not self._members.leads:
             return
         receivers = [member.address for member in self._members.in_domain()]
         if not receivers:
             return
         messages = list(
-            itertools.islice(_messages(prefix, after, changes), _MOST_PUSHED_MESSAGES + 1)
+            itertools.islice(_messages(prefix, after, changes), _MAX_PUSHED_MESSAGES + 1)
         )
         is_of_one_era = era_of(after) == era_of(changes.revision)
-        if not is_of_one_era or None in messages or len(messages) > _MOST_PUSHED_MESSAGES:
-            self._tell(receivers)
+        if not is_of_one_era or None in messages or len(messages) > _MAX_PUSHED_MESSAGES:
+            self._announce(receivers)
             return
         for message in messages:
             self._send(message, *receivers)
 
-    def _catch_up(self) -> None:
+    def _run(self) -> None:
         while not self._closing.is_set():
-            self._wake.wait()
-            self._wake.clear()
-            if self._closing.wait(self._grace_ms() / 1_000):
+            self._wake_event.wait()
+            self._wake_event.clear()
+            if self._closing.wait(self._fetch_delay_ms() / 1_000):
                 return
             for prefix, mirror in self.mirrors.items():
                 self._fetch(prefix, mirror)
 
-    def _grace_ms(self) -> float:
-        """Return how long to wait for what the store or the leader may be about to tell."""
+    def _fetch_delay_ms(self) -> float:
+        """Return how long to wait, in ms, for the store or the leader to deliver a change first."""
         if not all(mirror.state.revision for mirror in self.mirrors.values()):
             return 0.0
         leader = self._leadership.leader
         if self._leadership.stance is Stance.TOLD and leader is not None:
-            told = {address for address, _ in list(self._behind.values())}
-            return 0.0 if leader.address in told else _CUT_GRACE_MS
+            announcers = {address for address, _ in list(self._outdated.values())}
+            return 0.0 if leader.address in announcers else _DISCONNECTED_FETCH_DELAY_MS
         if not self.reaches_store:
-            return _CUT_GRACE_MS
-        return _GRACE_MS
+            return _DISCONNECTED_FETCH_DELAY_MS
+        return _FETCH_DELAY_MS
 
     def _fetch(self, prefix: str, mirror: StoreMirror) -> None:
-        told, revision = self._behind.pop(prefix, ("", 0))
-        if told and revision <= mirror.state.revision:
+        announcer, revision = self._outdated.pop(prefix, ("", 0))
+        if announcer and revision <= mirror.state.revision:
             return
-        if not told and mirror.connected:
+        if not announcer and mirror.connected:
             return
-        for address in self._sources(told):
+        for address in self._sources(announcer):
             since = mirror.state.revision
             try:
                 found = self._client.mirror(address, prefix, since)
             except AspengateError:
                 self._counters.count("peers.fetch_failed")
                 continue
-            if _take_over(mirror, since, found):
+            if _apply(mirror, since, found):
                 self._counters.count("peers.fetched")
                 log_change(
                     "mirror.from_peer",
@@ -179,21 +179,21 @@
             if mirror.state.revision >= revision:
                 return
 
-    def _sources(self, told: str) -> list[str]:
-        """Return the peers to ask: the leader here, the one that knows something new, some others.
+    def _sources(self, announcer: str) -> list[str]:
+        """Return the peers to fetch from: this domain's leader, the announcer, then some others.
 
-        Bytes between failure domains have a price. The others are drawn at random, so that
-        routers which start together don't all ask the same ones.
+        The leader comes first because traffic between failure domains is billed. The others are
+        chosen at random, so that routers which start together do not all call the same ones.
         """
         leader = self._leadership.leader if self._leadership.stance is Stance.TOLD else None
         first = [leader.address] if leader is not None else []
-        first += [told] if told and told not in first else []
+        first += [announcer] if announcer and announcer not in first else []
         others = [each for each in self._addresses() if each not in first]
-        return first + random.sample(others, min(_OTHER_SOURCES, len(others)))
+        return first + random.sample(others, min(_FALLBACK_SOURCES, len(others)))
 
 
-def _take_over(mirror: StoreMirror, since: int, found: Snapshot | Changes) -> bool:
-    """Take over what a peer told beyond a revision; return whether it was new."""
+def _apply(mirror: StoreMirror, since: int, found: Snapshot | Changes) -> bool:
+    """Apply a peer's state after revision ``since``; return whether it was new."""
     if isinstance(found, Snapshot):
         return mirror.offer(found)
     is_new = found.revision > mirror.state.revision
@@ -201,20 +201,21 @@
 
 
 def _messages(prefix: str, after: int, changes: Changes) -> Iterator[MirrorChanges | None]:
-    """Return the messages that tell of changes, each complete for who knows the ones before.
+    """Yield messages with the changes; each one follows directly on the revision of the previous.
 
-    None stands for an item that no message holds. Without the split each router of the domain
-    fetched the whole list of replicas for a change of more than one message: 750 KB for 3,000.
+    Yields None if an item is too large for a message. Without the split into messages each router
+    of the domain fetched the whole list of replicas if a change exceeded one message: 750 KB for
+    3,000 replicas.
     """
     era, known = era_of(changes.revision), number_of(after)
     batch: list[ChangedItem] = []
     size = 0
     for item in changed_items(changes):
         item_bytes = len(item.key) + len(item.value or b"")
-        if item_bytes > _MOST_PUSHED_BYTES:
+        if item_bytes > _MAX_PUSHED_BYTES:
             yield None
             return
-        if batch and size + item_bytes > _MOST_PUSHED_BYTES and batch[-1].revision < item.revision:
+        if batch and size + item_bytes > _MAX_PUSHED_BYTES and batch[-1].revision < item.revision:
             yield MirrorChanges(prefix, known, batch[-1].revision, batch, era)
             known, batch, size = batch[-1].revision, [], 0
         batch.append(item)
--- a/src/aspengate/gateway/_peer_services.py
+++ b/src/aspengate/gateway/_peer_services.py
@@ -1,4 +1,4 @@
-"""What a router does for the other ones: loans, witnessing, and what they tell of replicas."""
+"""Handlers for requests and notices from other routers: loans, ceilings, replicas, permits."""
 
 import math
 from collections.abc import Callable
@@ -25,19 +25,19 @@
 )
 from aspengate.replicas import PartMemory, ReplicaRegistry, ReplicaView
 
-# How long another router may use a permit that it is granted, in ms: its connection to the replica
-# may take a second to come up. With the longest wait before that it is over within the time after
-# which a router that starts again hands out permits.
-_VALID_MS = 1_500.0
-_MOST_WAIT_MS = 1_000.0
-# So many words on limits are told to a router that has just started.
-_MOST_RETOLD = 400
+# Validity of a permit that is granted to another router, in ms; its connection to the replica may
+# take a second. Together with the longest wait it stays below the time for which a restarted router
+# grants no permits.
+_PERMIT_VALIDITY_MS = 1_500.0
+_MAX_PERMIT_WAIT_MS = 1_000.0
+# Number of rate limits that are sent to a router that has just started.
+_MAX_RESENT_LIMITS = 400
 
 
 class GatewayPeerServices:
-    """Hands what other routers ask and tell to the parts of this one that it concerns.
+    """Dispatches requests and notices from other routers to the components of this one.
 
-    ``tokens`` returns the accounts, which are made after the peering that serves them.
+    ``tokens`` returns the accounts; it is a function because they are created after the peering.
     """
 
     def __init__(
@@ -57,28 +57,28 @@
         self._tokens = tokens
 
     def take_loan_request(self, request: LoanRequest, answer: Callable[[LoanReply], None]) -> None:
-        """Lend another router tokens; ``answer`` is called once it is decided how many."""
+        """Lend tokens to another router; pass the reply to ``answer`` once it is decided."""
         self._tokens().take_loan_request(request, answer)
 
     def take_repayment(self, payment: Repayment) -> bool:
-        """Take tokens back from another router; return whether they count now."""
+        """Take tokens back from another router; return whether the repayment is settled."""
         return self._tokens().take_repayment(payment)
 
     def accept_ceilings(self, notice: CeilingNotice) -> bool:
-        """Witness the most that another router's session will use."""
+        """Record, as a witness, the token ceilings of another router's session."""
         now = self._clock.monotonic_ms()
         return self._tokens().book.accept(notice.session, notice.ceilings, now)
 
     def close_witnessed(self, session: str) -> dict[str, int] | None:
-        """Accept no more of a session; return its ceilings by account, None if not known."""
+        """Stop witnessing a session; return its ceilings by account, or None if unknown."""
         return self._tokens().close_witnessed(session)
 
     def take_grants(self, notice: GrantNotice) -> None:
-        """Remember what the store granted another router's session."""
+        """Record the allowances that the store granted to another router's session."""
         self._tokens().take_grants(notice.grants)
 
     def take_placed(self, placed: PlacedRequest) -> None:
-        """Note a request that another router has sent to a replica."""
+        """Record a request that another router has sent to a replica."""
         now = self._clock.monotonic_ms()
         view = self._registry.view_of_life(placed.replica)
         if view is None:
@@ -89,26 +89,26 @@
             self._parts.note(part, view.identity, now)
 
     def take_crashes(self, notice: CrashNotice) -> None:
-        """Note under which requests another router saw replicas end."""
+        """Record crashes that another router has detected."""
         self._crashes.handle_notice(notice)
 
     def known_crashes(self) -> CrashNotice | None:
-        """Return what a router that has just started is to know of such requests, if anything."""
+        """Return a notice of recent crashes for a router that has just started, or None."""
         return self._crashes.recent_crashes()
 
     def take_limits(self, notice: LimitNotice, told_by: str) -> None:
-        """Note what another router knows of the limits that replicas name."""
+        """Record the rate limits of replicas that another router reports."""
         for word in notice.words:
             self._registry.note_limit_told(word.replica, word.number, word.per_second, told_by)
 
     def known_limits(self) -> LimitNotice | None:
-        """Return what a router that has just started is to know of limits, if anything."""
-        limits = self._registry.limits(_MOST_RETOLD)
+        """Return a notice of rate limits for a router that has just started, or None."""
+        limits = self._registry.limits(_MAX_RESENT_LIMITS)
         words = [LimitWord(life, each.number, each.per_second) for life, each in limits.items()]
         return LimitNotice(words) if words else None
 
     def take_permit_request(self, request: PermitRequest) -> tuple[PermitReply, LimitNotice | None]:
-        """Grant another router a permit, if there is one; return what it has to know besides."""
+        """Grant a permit if available; return the reply and a notice of newer limits or None."""
         views = []
         newer = []
         for word in request.words:
@@ -121,22 +121,22 @@
         return self._permit_for(request, views), LimitNotice(newer) if newer else None
 
     def _permit_for(self, request: PermitRequest, views: list[ReplicaView]) -> PermitReply:
-        """Return a permit for the first of some replicas that there is one for."""
+        """Return a permit for the first replica that has one available."""
         key = (request.session, request.number)
-        wait_ms = min(_MOST_WAIT_MS, request.most_wait_ms)
+        wait_ms = min(_MAX_PERMIT_WAIT_MS, request.most_wait_ms)
         ready = []
         limiter = self._bounds.limiter
         for view in views:
-            granted = limiter.grant(key, view, most_wait_ms=wait_ms, valid_ms=_VALID_MS)
+            granted = limiter.grant(key, view, most_wait_ms=wait_ms, valid_ms=_PERMIT_VALIDITY_MS)
             if granted is not None:
                 left_ms = math.ceil(max(0.0, granted.ready_ms - self._clock.monotonic_ms()))
                 return PermitReply(
-                    request.number, request.session, view.life, left_ms, int(_VALID_MS)
+                    request.number, request.session, view.life, left_ms, int(_PERMIT_VALIDITY_MS)
                 )
             in_ms = limiter.ready_in_ms(view)
             ready.append(ReadyPermit(view.life, -1 if in_ms is None else math.ceil(in_ms)))
         return PermitReply(request.number, request.session, ready=ready)
 
     def take_permit_use(self, use: PermitUse) -> None:
-        """Note what became of a permit that another router was granted."""
+        """Record whether another router used the permit that it was granted."""
         self._bounds.limiter.permits.settle_grant((use.session, use.number), sent=use.sent)
--- a/src/aspengate/gateway/_peering.py
+++ b/src/aspengate/gateway/_peering.py
@@ -1,4 +1,4 @@
-"""Keeps in touch with the other routers, and learns from them what the store did not tell."""
+"""Membership, leadership and message exchange between the routers of the fleet."""
 
 import random
 import threading
@@ -55,46 +55,48 @@
 )
 from aspengate.telemetry import Counters, lasting_thread, log_change
 
-# How far apart the routers' calls are on average, in ms, with which they list themselves again.
-_RELIST_MS = 10.0
-# How often a router tells of itself, in ms: a leader is missed after three of its beats.
-_NEWS_MS = 300.0
+# Average interval between the calls of different routers that register again, in ms.
+_REREGISTRATION_INTERVAL_MS = 10.0
+# Interval of a router's heartbeats, in ms; a leader counts as lost after three missed ones.
+_HEARTBEAT_MS = 300.0
 _FETCH_TIMEOUT_MS = 500.0
 _SERVER_THREADS = 2
 _SMALL_BODY = 4 * 1024
-_LIST_MS = 30_000.0
-_LIST_ALONE_MS = 3_000.0
-# Leaders tell all routers of themselves; the others tell the leaders, and this many more, so
-# that each is known to some. Messages of a router do not grow with the fleet's size by this.
-_NEWS_RECEIVERS = 4
-# So many ids fit into a datagram beside the rest.
-_MOST_REPLACED = 200
-# Leaders that were heard within this time, in ms, are told: ten of their beats.
-_LEADER_MS = 3_000.0
-
-# Notices on the limits of replicas are sent so far apart at least, in ms: a replica may name
-# another one in each of its answers.
-_LIMIT_GAP_MS = 200.0
+_LIST_INTERVAL_MS = 30_000.0
+_LIST_INTERVAL_ALONE_MS = 3_000.0
+# Leaders send heartbeats to all routers; the others send theirs to the leaders and to this many
+# random routers, so that each router is known to some. This keeps the message rate of a router
+# independent of the fleet's size.
+_HEARTBEAT_RECEIVERS = 4
+# Number of replica ids that fit into a heartbeat datagram.
+_MAX_REPLACED = 200
+# Leaders are sent heartbeats for this time after their last one, in ms: ten heartbeat intervals.
+_LEADER_TIMEOUT_MS = 3_000.0
+
+# Minimum interval between notices on rate limits, in ms: a replica may announce a different limit
+# in each response.
+_LIMIT_NOTICE_INTERVAL_MS = 200.0
 
 Reply = CeilingReply | LoanReply | RepaymentReply
 
 
 class Peering:
-    """One router among its peers.
+    """Connects this router to the other routers.
 
-    ``mirrors`` are the parts of the store that peers help each other with, by prefix. A router
-    whose store does not answer asks a peer for them; one that hears of a newer change than it
-    knows asks the peer that spoke of it. ``services`` is what it does for its peers;
-    ``restored_era`` tells which history of the store holds all that this router knows.
-    ``on_reply`` is called with what other routers answer, ``on_permit`` with their answers on
-    permits and where these came from, ``on_count`` with the number of routers that may be alive,
-    often and as soon as one is heard that was not known.
+    ``mirrors`` are the mirrors of the store that peers share, by prefix. If the store does not
+    respond, a router fetches them from a peer; if it is notified of a newer revision than its own,
+    it fetches them from the peer that announced it. ``services`` handles the requests and notices
+    of peers. ``restored_era`` returns the store era that holds all of this router's data.
 
-    One router leads each failure domain (``DomainLeadership``): it follows the store and tells
-    the others there of each change; these make no call for it.
+    ``on_reply`` is called with replies of other routers, and ``on_permit`` with their replies on
+    permits and the sender's address. ``on_count`` is called with the number of routers that may be
+    alive, at each heartbeat and as soon as a new router is discovered.
 
-    The list in the store is read at the start, and seldom after it by those that lead: whoever
-    starts later tells others of itself.
+    One router leads each failure domain (``DomainLeadership``): it follows the store and forwards
+    each change to the other routers there, which make no calls for it.
+
+    The list of routers in the store is read at the start, and afterwards rarely and only by
+    leaders, because routers that start later announce themselves.
     """
 
     def __init__(
@@ -132,7 +134,7 @@
         self._store = store
         self._on_count = on_count
         self._listed_ms = float("-inf")
-        self._relist_ms = float("inf")
+        self._reregister_due_ms = float("inf")
         self._clock = clock
         self._counters = counters
         self.seeds = seeds
@@ -141,9 +143,11 @@
         self.placements = PlacementExchange(
             self.members, self.leadership, counters, self._datagrams.send, services.take_placed
         )
-        tell = (clock, counters, self._datagrams.send, self._addresses)
-        self.crashes = NoticeExchange("crash-notices", merge_crashes, *tell)
-        self.limits = NoticeExchange("limit-notices", merge_limits, *tell, _LIMIT_GAP_MS)
+        exchange_args = (clock, counters, self._datagrams.send, self._addresses)
+        self.crashes = NoticeExchange("crash-notices", merge_crashes, *exchange_args)
+        self.limits = NoticeExchange(
+            "limit-notices", merge_limits, *exchange_args, _LIMIT_NOTICE_INTERVAL_MS
+        )
         self.sharing = MirrorSharing(
             mirrors,
             self.members,
@@ -151,7 +155,7 @@
             counters,
             self._client,
             send=self._datagrams.send,
-            tell=self._tell_news,
+            announce=self._send_news,
             addresses=self._addresses,
         )
         self._handler_of = self._handlers()
@@ -161,16 +165,16 @@
         self._beat = threading.Event()
         self._closing = threading.Event()
         self._list_tried = threading.Event()
-        self._thread = lasting_thread(self._send, "peers-send", counters)
-        self._list_thread = lasting_thread(self._list, "peers-list", counters)
+        self._thread = lasting_thread(self._run_heartbeats, "peers-send", counters)
+        self._list_thread = lasting_thread(self._run_registration, "peers-list", counters)
 
     @property
     def reaches_store(self) -> bool:
-        """Whether the store answers what is asked of it for the mirrors."""
+        """Whether the mirrors' watches are connected to the store."""
         return self.sharing.reaches_store
 
     def start(self) -> None:
-        """Begin to send and to listen."""
+        """Start to send and to receive."""
         self.server.start()
         self._datagrams.start()
         self.placements.start()
@@ -184,13 +188,13 @@
         self._list_thread.start()
 
     def close(self) -> None:
-        """Stop, and withdraw from the store; others are to lead in this router's place."""
+        """Stop, give up leadership, and remove this router's entry from the store."""
         self._closing.set()
         self._probe.close()
         self.sharing.close()
         self._beat.set()
         self.members.leads = False
-        self._tell()
+        self._send_heartbeat()
         self.placements.close()
         self.crashes.close()
         self.limits.close()
@@ -199,20 +203,23 @@
         self.server.close()
 
     def send(self, datagram: Datagram, address: str) -> None:
-        """Send a message to another router; it may get lost."""
+        """Send a message to another router; delivery is not guaranteed."""
         self._datagrams.send(datagram, address)
 
     def announce_now(self) -> None:
-        """Tell the others of this router at once."""
+        """Send a heartbeat immediately."""
         self._beat.set()
 
     def send_grant(self, grant: Grant) -> None:
-        """Have some others remember what the store has granted this router."""
+        """Send a grant of the store to the routers that keep a copy of it for this account."""
         keepers = [member.address for member in self.members.keepers(grant.account)]
         self._datagrams.send(GrantNotice([grant]), *keepers)
 
     def close_witnessed(self, witness: str, session: str) -> Mapping[str, int] | None:
-        """Have the router that runs ``witness`` close a session; None where it can't tell."""
+        """Ask the router of session ``witness`` to stop witnessing ``session``.
+
+        Returns the ceilings by account, or None if they are unknown or the router does not respond.
+        """
         member = self.members.runs(witness)
         if member is None:
             return None
@@ -225,41 +232,41 @@
             return None
 
     def handle_store_restored(self) -> None:
-        """Be listed and read the list anew, since the store may have lost the entries."""
-        delay_ms = random.uniform(0.0, self.members.count * _RELIST_MS)
-        self._relist_ms = self._clock.monotonic_ms() + delay_ms
+        """Schedule registration and a read of the list, because the store may have lost entries."""
+        delay_ms = random.uniform(0.0, self.members.count * _REREGISTRATION_INTERVAL_MS)
+        self._reregister_due_ms = self._clock.monotonic_ms() + delay_ms
 
     def stance(self) -> Stance:
-        """Return where this router learns of changes in the store from."""
+        """Return the source of this router's store changes."""
         return self.leadership.stance
 
-    def _send(self) -> None:
+    def _run_heartbeats(self) -> None:
         while True:
             if self._list_tried.is_set():
-                self._look()
-            self._tell()
+                self._update_leadership()
+            self._send_heartbeat()
             self.outages.note(answered=self._fleet_reaches_store())
             if not self.reaches_store:
                 self.sharing.wake()
             self._on_count(self.members.count)
-            self._beat.wait(_NEWS_MS / 1_000)
+            self._beat.wait(_HEARTBEAT_MS / 1_000)
             self._beat.clear()
             if self._closing.is_set():
                 return
 
-    def _list(self) -> None:
-        """Stay listed, apart from the loop that tells: a call may wait seconds for its answer."""
+    def _run_registration(self) -> None:
+        """Keep this router registered, on its own thread because a store call may take seconds."""
         while not self._closing.is_set():
-            if self._may_list():
-                self._keep_listed()
+            if self._should_list():
+                self._refresh_listing()
             if not self._list_tried.is_set():
                 self._list_tried.set()
                 self._beat.set()
-            self._closing.wait(_NEWS_MS / 1_000)
+            self._closing.wait(_HEARTBEAT_MS / 1_000)
 
-    def _may_list(self) -> bool:
-        if self._clock.monotonic_ms() >= self._relist_ms:
-            self._relist_ms = float("inf")
+    def _should_list(self) -> bool:
+        if self._clock.monotonic_ms() >= self._reregister_due_ms:
+            self._reregister_due_ms = float("inf")
             self._listed_ms = float("-inf")
             self.members.registered = False
         if not self.members.listed or not self.members.registered:
@@ -267,13 +274,15 @@
         return self.members.leads and self.reaches_store
 
     def _fleet_reaches_store(self) -> bool:
-        """Return whether the store answers this router or one that leads."""
+        """Return whether the store responds to this router or to any leader."""
         if all(mirror.proven for mirror in self.mirrors.values()):
             return True
-        return any(sign.leads and sign.reaches_store for sign in self.members.signs(_LEADER_MS))
+        return any(
+            sign.leads and sign.reaches_store for sign in self.members.signs(_LEADER_TIMEOUT_MS)
+        )
 
-    def _look(self) -> None:
-        """See whether to rest, and have the mirrors act on it at once."""
+    def _update_leadership(self) -> None:
+        """Update this router's leadership state, and notify the mirrors of a change."""
         before = self.leadership.stance
         proven = all(mirror.proven for mirror in self.mirrors.values())
         self.leadership.look(connected=proven)
@@ -281,18 +290,20 @@
             for mirror in self.mirrors.values():
                 mirror.look()
 
-    def _tell(self) -> None:
+    def _send_heartbeat(self) -> None:
         known = self._addresses()
         if self.members.leads:
             receivers = known
         else:
-            leaders = {sign.member.address for sign in self.members.signs(_LEADER_MS) if sign.leads}
+            leaders = {
+                sign.member.address for sign in self.members.signs(_LEADER_TIMEOUT_MS) if sign.leads
+            }
             others = [each for each in known if each not in leaders]
-            chosen = random.sample(others, min(_NEWS_RECEIVERS, len(others)))
+            chosen = random.sample(others, min(_HEARTBEAT_RECEIVERS, len(others)))
             receivers = [*leaders, *chosen]
-        self._tell_news(receivers)
+        self._send_news(receivers)
 
-    def _tell_news(self, receivers: Iterable[str]) -> None:
+    def _send_news(self, receivers: Iterable[str]) -> None:
         self._datagrams.send(self._news(), *receivers)
 
     def _news(self) -> PeerNews:
@@ -303,16 +314,16 @@
             self.reaches_store,
             self.members.listed_here,
             self.members.leads,
-            self.registry.replaced()[:_MOST_REPLACED],
+            self.registry.replaced()[:_MAX_REPLACED],
             self.restored_era(),
             [era_of(revision) for revision in newest.values()],
         )
 
-    def _keep_listed(self) -> None:
-        """Be in the store's list of routers, and know it."""
+    def _refresh_listing(self) -> None:
+        """Register in the store's list of routers, and read the list if that is due."""
         now = self._clock.monotonic_ms()
         alone = self.members.count == 1
-        due_ms = _LIST_ALONE_MS if alone else _LIST_MS
+        due_ms = _LIST_INTERVAL_ALONE_MS if alone else _LIST_INTERVAL_MS
         if not self.members.registered:
             self._call_store(lambda: self.members.register(self._store))
         if now - self._listed_ms >= due_ms and self._call_store(self._read_list):
@@ -322,7 +333,7 @@
         self.members.update(self._store.list_items(MEMBER_PREFIX))
 
     def _call_store(self, call: Callable[[], None]) -> bool:
-        """Make a call that may fail; return whether it was answered."""
+        """Make a store call; log a failure and return whether the call succeeded."""
         try:
             call()
         except AspengateError as error:
@@ -332,7 +343,7 @@
         return True
 
     def _handlers(self) -> dict[type, Callable[[Any, str], None]]:
-        """Return what is done with each kind of message and the address that it came from."""
+        """Return the handler of each message type, called with the message and its sender."""
         services = self.services
         return {
             PeerNews: lambda news, _: self._on_news(news),
@@ -340,13 +351,13 @@
             MirrorChanges: self.sharing.handle_changes,
             CrashNotice: lambda notice, _: services.take_crashes(notice),
             LimitNotice: services.take_limits,
-            PermitRequest: self._take_permit_request,
+            PermitRequest: self._handle_permit_request,
             PermitReply: lambda reply, address: self.on_permit(reply, address),
             PermitUse: lambda use, _: services.take_permit_use(use),
-            CeilingNotice: self._witness,
+            CeilingNotice: self._handle_ceilings,
             GrantNotice: lambda notice, _: services.take_grants(notice),
-            LoanRequest: self._take_loan_request,
-            Repayment: self._take_repayment,
+            LoanRequest: self._handle_loan_request,
+            Repayment: self._handle_repayment,
         }
 
     def _on_datagram(self, datagram: Datagram, address: str) -> None:
@@ -356,19 +367,19 @@
         elif isinstance(datagram, Reply):
             self.on_reply(datagram)
 
-    def _take_loan_request(self, request: LoanRequest, address: str) -> None:
+    def _handle_loan_request(self, request: LoanRequest, address: str) -> None:
         self.services.take_loan_request(request, lambda reply: self._datagrams.send(reply, address))
 
-    def _witness(self, notice: CeilingNotice, address: str) -> None:
+    def _handle_ceilings(self, notice: CeilingNotice, address: str) -> None:
         accepted = notice.witness == self.session and self.services.accept_ceilings(notice)
         reply = CeilingReply(notice.number, notice.session, self.session, accepted)
         self._datagrams.send(reply, address)
 
-    def _take_repayment(self, payment: Repayment, address: str) -> None:
+    def _handle_repayment(self, payment: Repayment, address: str) -> None:
         if payment.lender == self.session and self.services.take_repayment(payment):
             self._datagrams.send(RepaymentReply(payment.number, payment.session), address)
 
-    def _take_permit_request(self, request: PermitRequest, address: str) -> None:
+    def _handle_permit_request(self, request: PermitRequest, address: str) -> None:
         reply, newer = self.services.take_permit_request(request)
         if newer is not None:
             self._datagrams.send(newer, address)
@@ -389,15 +400,15 @@
             if self.members.leads:
                 self._datagrams.send(self._news(), news.member.address)
         if was_away or is_new:
-            # What others were told while a router was cut off, or before it started, it does not
-            # know.
+            # The router missed the notices that were sent before it started or while it was
+            # unreachable.
             for notice in (self.services.known_crashes(), self.services.known_limits()):
                 if notice is not None:
                     self._datagrams.send(notice, news.member.address)
         is_near = news.member.failure_domain == self.members.own.failure_domain
         is_other = self.leadership.leader != news.member
         if is_near and news.leads and (is_other or not news.reaches_store):
-            self._look()
+            self._update_leadership()
         era = max(news.eras, default=0)
         if era:
             self._store.era.note(era)
@@ -407,7 +418,7 @@
             self.registry.note_replaced(life, news.member.name)
 
     def _addresses(self) -> list[str]:
-        """Return the addresses of the other routers, of the seeds where none is known."""
+        """Return the addresses of the other routers, or those of the seeds if none is known."""
         own = self.members.own.address
         port = int(own.rpartition(":")[2])
         known = self.members.addresses() or peer_addresses(self.seeds, port)
--- a/src/aspengate/gateway/_permit_client.py
+++ b/src/aspengate/gateway/_permit_client.py
@@ -1,4 +1,4 @@
-"""Asks other routers for permits to send to replicas that name limits."""
+"""Requests permits from other routers to send to replicas with rate limits."""
 
 import itertools
 import threading
@@ -12,34 +12,35 @@
 from aspengate.replicas import ReplicaView
 from aspengate.telemetry import Counters
 
-# The longest wait for an answer, in ms: some round trips between regions.
-_ANSWER_MS = 100.0
-# So many replicas fit into a question beside the rest.
-_MOST_WORDS = 100
+# Time limit for a reply, in ms: a few round trips between regions.
+_REPLY_TIMEOUT_MS = 100.0
+# Number of replicas that fit into one request datagram.
+_MAX_WORDS = 100
 
 
 @dataclass
-class _Question:
-    """A question that waits for its answer."""
+class _PendingRequest:
+    """A permit request that waits for its reply."""
 
-    asked_ms: float
+    sent_ms: float
     answered: threading.Event = field(default_factory=threading.Event)
     reply: PermitReply | None = None
 
 
 @dataclass(frozen=True)
 class GrantedPermit:
-    """A replica, and the permit of another router to send one request to it."""
+    """A replica, and another router's permit to send one request to it."""
 
     view: ReplicaView
     permit: Permit
 
 
 class PermitClient:
-    """Gets permits from the routers that hold them.
+    """Requests permits from the routers that hold them.
 
-    ``address_of`` returns where a router is reached by its name, empty where that is not known;
-    ``send`` sends a message there, which may get lost. ``session`` is this router's run.
+    ``address_of`` returns the address of a router by its name, or an empty string if it is unknown.
+    ``send`` sends a message to an address; the message may get lost. ``session`` returns the name
+    of this router's session.
     """
 
     def __init__(
@@ -59,44 +60,44 @@
         self._address_of = address_of
         self._send = send
         self._numbers = itertools.count(1)
-        self._questions: dict[int, _Question] = {}
+        self._pending: dict[int, _PendingRequest] = {}
         self._lock = threading.Lock()
 
     def handle_reply(self, reply: PermitReply, address: str) -> None:
-        """Take another router's answer; a permit that nobody waits for goes back."""
+        """Handle another router's reply; return the permit if the request has timed out."""
         with self._lock:
-            question = self._questions.get(reply.number)
-            if question is not None:
-                question.reply = reply
-                question.answered.set()
-        if question is None and reply.replica:
+            pending = self._pending.get(reply.number)
+            if pending is not None:
+                pending.reply = reply
+                pending.answered.set()
+        if pending is None and reply.replica:
             self._counters.count("permits.too_late")
             self._send(PermitUse(reply.number, self._session(), sent=False), address)
 
     def request_permit(
         self, router: str, wanted: Sequence[ReplicaView], most_wait_ms: float
     ) -> GrantedPermit | None:
-        """Ask a router for a permit for one of the limited replicas ``wanted``; None for none.
+        """Request a permit for one of the rate-limited replicas ``wanted`` from a router.
 
-        It is ready within ``most_wait_ms``. The answer takes some ms, or a timeout where the router
-        does not answer.
+        The permit can be used within ``most_wait_ms``. Returns None if the router grants none or
+        does not reply before the timeout. Blocks until then; a reply takes some ms.
         """
         address = self._address_of(router)
         if not address:
             self.holders.note_silent(router)
             return None
         number = next(self._numbers)
-        question = _Question(self._clock.monotonic_ms())
+        pending = _PendingRequest(self._clock.monotonic_ms())
         with self._lock:
-            self._questions[number] = question
-        views = {view.life: view for view in wanted[:_MOST_WORDS]}
+            self._pending[number] = pending
+        views = {view.life: view for view in wanted[:_MAX_WORDS]}
         words = [limit_word_of(view) for view in views.values()]
         self._counters.count("permits.asked")
         self._send(PermitRequest(number, self._session(), words, int(most_wait_ms)), address)
-        question.answered.wait(_ANSWER_MS / 1_000)
+        pending.answered.wait(_REPLY_TIMEOUT_MS / 1_000)
         with self._lock:
-            del self._questions[number]
-        reply = question.reply
+            del self._pending[number]
+        reply = pending.reply
         if reply is None:
             self._counters.count("permits.unanswered")
             self.holders.note_silent(router)
@@ -107,13 +108,13 @@
             if each.replica in views
         }
         self.holders.note_answer(router, ready)
-        return self._granted(reply, views, question, address)
+        return self._granted(reply, views, pending, address)
 
     def _granted(
         self,
         reply: PermitReply,
         views: dict[str, ReplicaView],
-        question: _Question,
+        pending: _PendingRequest,
         address: str,
     ) -> GrantedPermit | None:
         view = views.get(reply.replica)
@@ -124,14 +125,14 @@
         def settle(sent: bool) -> None:
             self._send(PermitUse(reply.number, self._session(), sent=sent), address)
 
-        # The other router counts the permit from some ms after it was asked, so that it lapses
-        # there a little later than here.
-        until_ms = question.asked_ms + reply.wait_ms + reply.valid_ms
+        # The other router starts the validity period when it receives the request, so the permit
+        # expires there a few ms later than here.
+        until_ms = pending.sent_ms + reply.wait_ms + reply.valid_ms
         ready_ms = self._clock.monotonic_ms() + reply.wait_ms
         return GrantedPermit(view, Permit(settle, ready_ms=ready_ms, until_ms=until_ms))
 
 
 def limit_word_of(view: ReplicaView) -> LimitWord:
-    """Return what this router knows of a replica's limit."""
+    """Return the message entry with the rate limit that this router last saw for a replica."""
     limit = view.said.limit
     return LimitWord(view.life, limit.number, limit.per_second)
--- a/src/aspengate/gateway/_replica_bounds.py
+++ b/src/aspengate/gateway/_replica_bounds.py
@@ -1,4 +1,4 @@
-"""What bounds how much a replica gets from all routers together."""
+"""Limits on the requests that a replica receives from all routers together."""
 
 from collections.abc import Callable, Collection
 
@@ -17,10 +17,11 @@
 
 
 class ReplicaBounds:
-    """The bounds on cold replicas and on those that name limits; the narrower one holds.
+    """Combines the limits on cold replicas with the rate limits that replicas announce.
 
-    ``own`` is this router's name. ``contact`` tells what it can know of replicas that become cold,
-    ``any_limited`` whether some replica may name a limit.
+    Both have to allow a request. ``own`` is this router's name. ``contact`` returns from where it
+    currently learns that replicas become cold, and ``any_limited`` whether any replica may have
+    announced a rate limit.
     """
 
     def __init__(
@@ -37,20 +38,20 @@
         self.limiter = ReplicaLimiter(permits, clock, any_limited)
 
     def set_routers(self, names: Collection[str], count: int) -> None:
-        """Take over which routers may be alive, by the store's list, and how many there are."""
+        """Set the listed names of the routers that may be alive, and their number."""
         self.shares.know(names, count)
 
     def forget(self, replica: str) -> None:
-        """Forget a replica that is gone, but not what it got."""
+        """Drop the state of a replica that is gone, except for the requests that it received."""
         self.cold_starts.forget(replica)
         self.limiter.permits.forget(replica)
 
     def open(self, ready: list[ReplicaView], service: Service) -> list[ReplicaView]:
-        """Return those of a service's replicas that may get one more request now, in a new list."""
+        """Return a new list of the service's replicas that may receive another request now."""
         return self.limiter.open(self.cold_starts.open(ready, service))
 
     def limited(self, ready: list[ReplicaView], service: Service) -> list[ReplicaView]:
-        """Return those that name a limit, and may get one more request but for that."""
+        """Return the replicas with a rate limit that no other limit excludes."""
         if not self.limiter.any_limited():
             return []
         return self.limiter.limited(self.cold_starts.open(ready, service))
@@ -58,7 +59,7 @@
     def acquire(
         self, view: ReplicaView, service: Service, most_wait_ms: float = 0.0
     ) -> Permit | None:
-        """Return the permission to send one request to a replica; None where there is none."""
+        """Return a permit to send one request to a replica, or None if no permit is available."""
         cold = self.cold_starts.take(view, service)
         if cold is None:
             return None
@@ -71,7 +72,7 @@
     def acquire_with_permit(
         self, view: ReplicaView, service: Service, granted: Permit
     ) -> Permit | None:
-        """Return a permission with a permit that another router has granted; None as ``take``."""
+        """Return a permit that includes ``granted`` from another router, or None as ``acquire``."""
         cold = self.cold_starts.take(view, service)
         if cold is None:
             granted.settle(sent=False)
--- a/src/aspengate/gateway/_reporting.py
+++ b/src/aspengate/gateway/_reporting.py
@@ -1,4 +1,4 @@
-"""What a gateway tells of itself: its gauges, and lines on what its routers decided together."""
+"""Periodic log lines of a gateway on retry decisions and store calls."""
 
 from collections.abc import Callable
 
@@ -7,14 +7,14 @@
 from aspengate.store import KeyValueStore
 from aspengate.telemetry import log_change
 
-# How often the calls to the store are told, in ms: often enough to see which fault cost them.
-_CALLS_TOLD_MS = 5_000.0
+# Interval of the log lines on store calls, in ms: short enough to attribute calls to a fault.
+_STORE_CALLS_INTERVAL_MS = 5_000.0
 
 
 class GatewayReport:
-    """Tells the decisions on repeats and the calls to the store, each a line for a while of them.
+    """Logs retry decisions and store calls, aggregated over an interval.
 
-    ``session`` returns the name of this run; ``tell`` is to be called about once a second.
+    ``session`` returns the name of this router's session. Call ``log_if_due`` about once a second.
     """
 
     def __init__(
@@ -28,21 +28,24 @@
         self._store = store
         self._session = session
         self._clock = clock
-        self._calls_told_ms = clock.monotonic_ms()
+        self._calls_logged_ms = clock.monotonic_ms()
 
     def log_if_due(self) -> None:
-        """Tell what has been decided since the last call, and now and then the store's calls."""
-        self._tell_retries()
-        if self._clock.monotonic_ms() - self._calls_told_ms >= _CALLS_TOLD_MS:
+        """Log the retry decisions since the last call, and the store calls if they are due."""
+        self._log_retries()
+        if self._clock.monotonic_ms() - self._calls_logged_ms >= _STORE_CALLS_INTERVAL_MS:
             self.log_store_calls()
 
     def log_store_calls(self) -> None:
-        """Tell how many calls the store got so far, by kind."""
-        self._calls_told_ms = self._clock.monotonic_ms()
+        """Log the number of store calls so far, by kind."""
+        self._calls_logged_ms = self._clock.monotonic_ms()
         log_change("store.calls", session=self._session(), calls=dict(self._store.calls))
 
-    def _tell_retries(self) -> None:
-        """Tell the decisions on repeats: a killed router's requests never get their own lines."""
+    def _log_retries(self) -> None:
+        """Log the retry decisions.
+
+        The lines of single requests do not suffice: those of a killed router are never written.
+        """
         told_ms = self._retries.told_ms()
         for tally in self._retries.tallies():
             log_change(
--- a/src/aspengate/gateway/_settings.py
+++ b/src/aspengate/gateway/_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the gateway."""
+"""Settings of the gateway process."""
 
 from dataclasses import dataclass
 
@@ -33,7 +33,7 @@
 
 
 def port_range(text: str) -> range:
-    """Read ``FIRST-LAST``; raises ValueError."""
+    """Parse a port range ``FIRST-LAST``; raises ValueError if it is empty or invalid."""
     first, _, last = text.partition("-")
     found = range(int(first), int(last) + 1)
     if not found or found.start < 0 or found.stop > 2**16:
@@ -42,48 +42,53 @@
 
 
 def optional_names(text: str) -> tuple[str, ...]:
-    """Read values separated by commas, which may be none."""
+    """Parse values separated by commas; the list may be empty."""
     return names(text) if text.strip(", ") else ()
 
 
 @dataclass(frozen=True, kw_only=True)
 class GatewaySettings:
-    """What a gateway is told at its start."""
+    """Settings that a gateway reads at its start."""
 
     name: str = setting("instance", str, "name of this process", accepts="a name")
-    listen: str = setting("instance", address, "where callers reach it", accepts="IP:port")
+    listen: str = setting("instance", address, "address for callers", accepts="IP:port")
     ready_listen: str = setting(
-        "instance", address, "where the balancer asks whether it is ready", accepts="IP:port"
+        "instance",
+        address,
+        "address of the readiness check for the load balancer",
+        accepts="IP:port",
+    )
+    failure_domain: str = setting(
+        "instance", str, "failure domain of this process", accepts="a name"
     )
-    failure_domain: str = setting("instance", str, "failure domain it stands in", accepts="a name")
     peer_ports: range = setting(
         "peers",
         port_range,
-        "ports that routers use between themselves",
+        "ports for communication between routers",
         accepts="FIRST-LAST",
         default=range(7340, 7356),
     )
     seeds: tuple[str, ...] = setting(
         "peers",
         optional_names,
-        "addresses of routers that may be there at a start",
+        "addresses of routers to contact at a start",
         accepts="IP:port, separated by commas",
         default=(),
     )
-    store: str = setting("store", address, "the key-value store", accepts="IP:port")
+    store: str = setting("store", address, "address of the key-value store", accepts="IP:port")
     writes_per_second: float = setting(
         "store",
         number(0, 1e9),
-        "writes that all routers may make together",
+        "maximum rate of writes by all routers together",
         accepts="0 to 1e9",
         unit="calls/s",
         default=100.0,
     )
-    store_timeout_ms: float = _milliseconds("store", "longest wait for an answer", 2_000)
+    store_timeout_ms: float = _milliseconds("store", "time limit of a store call", 2_000)
     memory_mb: int = setting(
         "limits",
         whole_number(1, 2**20),
-        "memory that this process may use",
+        "maximum memory of this process",
         accepts="1 to 1048576",
         unit="MB",
         default=256,
@@ -91,74 +96,76 @@
     descriptors: int = setting(
         "limits",
         whole_number(64, 2**20),
-        "descriptors that this process may use",
+        "maximum number of descriptors of this process",
         accepts="64 to 1048576",
         default=1_024,
     )
     threads: int = setting(
         "limits",
         whole_number(1, 4_000),
-        "requests in progress at once",
+        "maximum number of concurrent requests",
         accepts="1 to 4000",
         unit="requests",
         default=256,
     )
-    stop_s: float = _seconds("bounds", "time for a planned stop, before a kill", 8)
+    stop_s: float = _seconds(
+        "bounds", "duration of a planned stop, before the process is killed", 8
+    )
     drain_ms: float = _milliseconds(
-        "bounds", "time after which a leaving replica gets nothing", 2_000
+        "bounds", "time limit after which a leaving replica receives no requests", 2_000
     )
     configuration_ms: float = _milliseconds(
-        "bounds", "time within which a configuration is in force", 2_000
+        "bounds", "time limit for a new configuration to take effect", 2_000
     )
     retry_ratio: float = setting(
         "bounds",
         number(0, 10),
-        "repeated attempts for each request, over the fleet",
+        "retries for each request, over the fleet",
         accepts="0 to 10",
         default=0.1,
     )
     retry_slack: float = setting(
         "bounds",
         number(0, 1e6),
-        "repeated attempts beyond the ratio in one window, over the fleet",
+        "retries beyond the ratio in one window, over the fleet",
         accepts="0 to 1e6",
         default=10.0,
     )
-    retry_window_s: float = _seconds("bounds", "the window of the retry budget", 10)
+    retry_window_s: float = _seconds("bounds", "window of the retry budget", 10)
     retry_start_ms: float = _milliseconds(
         "bounds",
-        "time in which all have heard of a router that starts, and a dead one's requests arrived",
+        "time until all routers know a new one, and a killed one's requests have arrived",
         3_000,
     )
     cold_overage: float = setting(
         "bounds",
         number(0, 1e3),
-        "what all routers may send to a cold replica, for what its service's bear",
+        "maximum load of a cold replica, relative to what its service's replicas sustain",
         accepts="0 to 1000",
         default=1.0,
     )
     cold_slack: float = setting(
         "bounds",
         number(0, 1e6),
-        "requests a second that a cold replica may get beyond that",
+        "additional requests a second for a cold replica",
         accepts="0 to 1e6",
         unit="requests/s",
         default=0.0,
     )
     settle_ms: float = _milliseconds(
-        "bounds", "time within which an ended request's tokens are settled", 1_500
+        "bounds", "time limit for settling the tokens of a finished request", 1_500
     )
     metrics_listen: str = setting(
         "metrics",
         address,
-        "where scrapers read figures; nowhere where it is empty",
+        "address of the metrics endpoint; disabled if empty",
         accepts="IP:port",
         default="",
     )
     log_lines_per_second: int = setting(
         "log",
         whole_number(1, 1_000_000),
-        "most lines a second for requests that were answered",
+        "maximum log lines a second for answered requests",
         accepts="1 to 1000000",
         unit="lines/s",
         default=200,
--- a/src/aspengate/gateway/_store_mirrors.py
+++ b/src/aspengate/gateway/_store_mirrors.py
@@ -1,4 +1,4 @@
-"""The parts of the store that a gateway follows, and how often it asks the store for them."""
+"""The mirrors of the store that a gateway keeps, and their polling intervals."""
 
 from collections.abc import Callable, Mapping
 
@@ -9,28 +9,29 @@
 from aspengate.store import KEEP_MS, MirrorState, Stance, StoreMirror, WriterOrder, no_order
 from aspengate.telemetry import Counters
 
-# How long a watch waits for changes, in ms.
-_WATCH_MS = 25_000
-# How long changes are gathered before the next watch, in ms. The platform's shortest bound on
-# configuration and leaving replicas is 2 s, counted from a change to a request. While there are
-# requests a tenth of it is spent; without any, nobody is served by what is known: half of it.
-_GATHER_MS = 150.0
-_GATHER_AT_REST_MS = 800.0
-# After so long without a request, in ms, a router counts as being at rest.
-_AT_REST_MS = 1_000.0
-# The longest pause before a store that does not answer is asked again, in ms: the leader of a
-# failure domain finds out first that it is back, and the others hear that without a call.
-_LEADER_PAUSE_MS = 200.0
-_PAUSE_MS = 1_500.0
+# Duration of a watch without changes, in ms.
+_WATCH_TIMEOUT_MS = 25_000
+# Delay before the next watch, in ms, in which changes accumulate. The platform's strictest limit
+# on the delay from a change of the configuration or of a leaving replica to the first request that
+# respects it is 2 s. With requests in progress a tenth of it is used; without requests, nobody is
+# served from the mirror, and half of it is used.
+_COALESCE_MS = 150.0
+_IDLE_COALESCE_MS = 800.0
+# Time without a request, in ms, after which a router counts as idle.
+_IDLE_AFTER_MS = 1_000.0
+# Maximum backoff before an unresponsive store is called again, in ms. The leader of a failure
+# domain retries sooner, and the other routers learn of the recovery from it without a call.
+_MAX_LEADER_BACKOFF_MS = 200.0
+_MAX_BACKOFF_MS = 1_500.0
 
 
 class StoreMirrors:
-    """Mirrors of what the operator, the replicas and the routers write.
+    """Holds the mirrors of the items that the operator, the replicas and the routers write.
 
-    ``reader`` takes over what the first two write, ``take_records`` the records of requests that
-    end replicas. ``stance`` tells where changes are learnt from, ``leads`` whether this router
-    follows the store for others, and ``last_request_ms`` when it got its last request, in
-    monotonic milliseconds.
+    ``reader`` applies the items of the operator and the replicas, and ``load_records`` the crash
+    records, which routers write. ``stance`` returns where changes are received from, ``leads``
+    whether this router follows the store for others, and ``last_request_ms`` the time of its last
+    request, in monotonic milliseconds.
     """
 
     def __init__(
@@ -39,7 +40,7 @@
         clock: Clock,
         counters: Counters,
         reader: StoreReader,
-        take_records: Callable[[MirrorState], None],
+        load_records: Callable[[MirrorState], None],
         *,
         stance: Callable[[], Stance],
         leads: Callable[[], bool],
@@ -57,21 +58,21 @@
         self.replicas = self._mirror(
             deployment.replica_prefix, reader.load_replicas, order=deployment.read_order
         )
-        # Routers alone write these, and write again what the store has lost.
-        self.crash_records = self._mirror(RECORD_PREFIX, take_records, keep_ms=float("inf"))
+        # Only routers write crash records, and they rewrite the ones that the store has lost.
+        self.crash_records = self._mirror(RECORD_PREFIX, load_records, keep_ms=float("inf"))
 
     @property
     def by_prefix(self) -> Mapping[str, StoreMirror]:
-        """All of them, by the prefix that each follows."""
+        """All mirrors, by the prefix that each follows."""
         return {each.prefix: each for each in (self.operator, self.replicas, self.crash_records)}
 
     def start(self) -> None:
-        """Begin to follow the store."""
+        """Start to follow the store."""
         for mirror in self.by_prefix.values():
             mirror.start()
 
     def close(self) -> None:
-        """Stop."""
+        """Stop following the store."""
         for mirror in self.by_prefix.values():
             mirror.close()
 
@@ -89,19 +90,19 @@
             self._clock,
             self._counters,
             on_change,
-            _WATCH_MS,
-            self._gather_ms,
+            _WATCH_TIMEOUT_MS,
+            self._coalesce_ms,
             stance=self._stance,
-            longest_pause_ms=self._longest_pause_ms,
+            longest_pause_ms=self._max_backoff_ms,
             keep_ms=keep_ms,
             order=order,
         )
 
-    def _gather_ms(self) -> float:
-        """Return how long changes are gathered: longer while there are no requests."""
-        rested_ms = self._clock.monotonic_ms() - self._last_request_ms()
-        return _GATHER_AT_REST_MS if rested_ms > _AT_REST_MS else _GATHER_MS
+    def _coalesce_ms(self) -> float:
+        """Return the delay before the next watch, in ms: longer while there are no requests."""
+        idle_ms = self._clock.monotonic_ms() - self._last_request_ms()
+        return _IDLE_COALESCE_MS if idle_ms > _IDLE_AFTER_MS else _COALESCE_MS
 
-    def _longest_pause_ms(self) -> float:
-        """Return how long to wait before the store is asked again; leaders are to be the first."""
-        return _LEADER_PAUSE_MS if self._leads() else _PAUSE_MS
+    def _max_backoff_ms(self) -> float:
+        """Return the maximum backoff in ms: shorter for leaders, which retry first."""
+        return _MAX_LEADER_BACKOFF_MS if self._leads() else _MAX_BACKOFF_MS
--- a/src/aspengate/gateway/_store_probe.py
+++ b/src/aspengate/gateway/_store_probe.py
@@ -1,4 +1,4 @@
-"""Finds out soon that the store no longer answers a router that others rely on."""
+"""Detects quickly that the store no longer responds to a router that others depend on."""
 
 import threading
 from collections.abc import Callable
@@ -8,19 +8,19 @@
 from aspengate.store import KeyValueStore
 from aspengate.telemetry import Counters, lasting_thread
 
-# A leader asks the store for a sign of life where it has had none for so long, in ms. With two
-# calls that get no answer (700 ms at most while the store is quick) and the takeover by another
-# router (400 ms at most) a change is late by less than the 2 s that the strictest platform allows;
-# by keep-alive alone it was 3.4 s (1 day, 4 routers, leaders cut off from the store).
-_QUIET_MS = 500.0
-_LOOK_S = 0.2
+# A leader probes the store after this time without a response, in ms. Together with two unanswered
+# calls (700 ms at most while the store is fast) and the takeover by another router (400 ms at most)
+# a change is delayed by less than the 2 s that the strictest platform allows. With TCP keep-alive
+# alone the delay was 3.4 s.
+_IDLE_BEFORE_PROBE_MS = 500.0
+_POLL_S = 0.2
 
 
 class StoreProbe:
-    """Asks for a sign of life, on a thread of its own, as long as ``is_needed`` says so.
+    """Probes the store from a background thread while ``is_needed`` returns True.
 
-    Two calls in a row that stay unanswered have the store's client end the watches that wait; so
-    the second one follows the first at once.
+    After two consecutive unanswered calls the store's client aborts the waiting watches; therefore
+    the second probe follows a failed first one immediately.
     """
 
     def __init__(
@@ -38,18 +38,18 @@
         self._thread = lasting_thread(self._run, "store-probe", counters)
 
     def start(self) -> None:
-        """Begin to look."""
+        """Start probing."""
         self._thread.start()
 
     def close(self) -> None:
-        """Stop."""
+        """Stop probing."""
         self._closing.set()
 
     def _run(self) -> None:
         failed = 0
-        while not self._closing.wait(0.0 if failed == 1 else _LOOK_S):
-            quiet_ms = self._clock.monotonic_ms() - self._store.answered_ms
-            if quiet_ms < _QUIET_MS or not self._is_needed():
+        while not self._closing.wait(0.0 if failed == 1 else _POLL_S):
+            idle_ms = self._clock.monotonic_ms() - self._store.answered_ms
+            if idle_ms < _IDLE_BEFORE_PROBE_MS or not self._is_needed():
                 failed = 0
                 continue
             try:
--- a/src/aspengate/gateway/_store_reader.py
+++ b/src/aspengate/gateway/_store_reader.py
@@ -1,4 +1,4 @@
-"""Takes over what the operator and the replicas write to the store."""
+"""Applies what the operator and the replicas write to the store."""
 
 from aspengate.configuration import ConfigurationHolder
 from aspengate.errors import AspengateError
@@ -11,9 +11,10 @@
 
 
 class StoreReader:
-    """Reads items as ``deployment`` spells them into the configuration and the list of replicas.
+    """Decodes store items into the configuration and the list of replicas.
 
-    An item that can't be read is told of once, and leaves what was known before in force.
+    ``deployment`` defines the format of the items. An unreadable item is logged once; the previous
+    configuration then stays in effect.
     """
 
     def __init__(
@@ -27,19 +28,19 @@
         self._holder = holder
         self._registry = registry
         self._unreadable = UnreadableItems(counters)
-        # The revision of the last configuration that was read, whether it came into force or not.
+        # The revision of the last configuration that was read, whether it was accepted or not.
         self._configuration_read = 0
 
     def load_operator_items(self, state: MirrorState) -> None:
-        """Take over what the operator wrote; evacuations first, so that none is served without."""
+        """Apply the operator's items, evacuations first so that no request precedes them."""
         found = (self._deployment.read_evacuation(item) for item in state.items.values())
         self._registry.evacuate(each for each in found if each is not None)
         item = state.items.get(self._deployment.configuration_key)
         if item is not None:
-            self._take_configuration(item)
+            self._load_configuration(item)
 
     def load_replicas(self, state: MirrorState) -> None:
-        """Take over the list of replicas; one whose record can't be read is not in it."""
+        """Replace the list of replicas; omit those whose record can't be read."""
         replicas = []
         for item in state.items.values():
             try:
@@ -49,7 +50,7 @@
         self._registry.update(replicas, state.revision)
 
     def limit_of(self, account: str) -> LimitSource | None:
-        """Return an account's prepaid limit; None where it has none, or nothing is known yet."""
+        """Return an account's prepaid limit; None if it has none or no configuration is loaded."""
         if not self._holder.known:
             return None
         configuration = self._holder.current
@@ -58,7 +59,7 @@
             return None
         return LimitSource(found.prepaid_tokens, configuration.revision)
 
-    def _take_configuration(self, item: StoreItem) -> None:
+    def _load_configuration(self, item: StoreItem) -> None:
         if item.revision == self._configuration_read:
             return
         self._configuration_read = item.revision
