--- a/src/aspengate/gateway/__init__.py
+++ b/src/aspengate/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The router that relays requests straight to replicas, within the operators' configuration."""
+"""The gateway daemon, which relays caller requests to replicas as the configuration directs."""
 
 from aspengate.gateway._daemon import Gateway
 from aspengate.gateway._exchange import Exchange, Filter, Outcome
--- a/src/aspengate/gateway/_application.py
+++ b/src/aspengate/gateway/_application.py
@@ -1,4 +1,4 @@
-"""Answers each request that a caller sends: admission, attempts, and errors as answers."""
+"""Handles each caller request: admission filters, dispatch to replicas, and error responses."""
 
 import math
 from collections.abc import Callable
@@ -20,13 +20,13 @@
 from aspengate.telemetry import log_change
 
 ADMISSION = ("route", "authenticate", "reserve")
-_LONGEST_MS = 600_000.0
+_DEFAULT_DEADLINE_MS = 600_000.0
 
 
 class GatewayApplication:
-    """The handler of a relay server.
+    """The request handler of a relay server.
 
-    ``last_request_ms`` is when the handling of the newest request began, in monotonic time.
+    ``last_request_ms`` is the monotonic time in ms at which handling of the latest request started.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         dispatcher: Dispatcher,
         clock: Clock,
         log: RequestLog,
-        refusing: Callable[[], bool],
+        is_refusing: Callable[[], bool],
     ) -> None:
         self.header_codec = header_codec
         self.holder = holder
@@ -46,28 +46,28 @@
         self.dispatcher = dispatcher
         self.clock = clock
         self.log = log
-        self.refusing = refusing
+        self.is_refusing = is_refusing
         self.last_request_ms = float("-inf")
 
     def __call__(self, caller: CallerConnection) -> None:
-        """Answer one request; raises CallerGoneError where nobody waits for the answer."""
-        handling = _Handling(self, caller)
+        """Handle one request; raises CallerGoneError if the caller has disconnected."""
+        handler = _RequestHandler(self, caller)
         try:
-            handling.serve()
+            handler.serve()
         except CallerGoneError as error:
-            handling.tell(error)
+            handler.log_end(error)
             raise
         except AspengateError as error:
-            handling.fail(error)
+            handler.handle_error(error)
         except Exception as error:
-            log_change("request.fault", request_id=handling.request_id, error=repr(error))
-            handling.fail(AspengateError(ErrorKind.INTERNAL, "a fault of the router's own"))
+            log_change("request.fault", request_id=handler.request_id, error=repr(error))
+            handler.handle_error(AspengateError(ErrorKind.INTERNAL, "a fault of the router's own"))
         else:
-            handling.tell(None)
+            handler.log_end(None)
 
 
-class _Handling:
-    """The handling of one request."""
+class _RequestHandler:
+    """Handles one request and holds its state."""
 
     def __init__(self, application: GatewayApplication, caller: CallerConnection) -> None:
         self.application = application
@@ -77,20 +77,23 @@
         self.exchange: Exchange | None = None
 
     def serve(self) -> None:
-        """Read, admit and dispatch the request; raises AspengateError."""
-        self.progress.begun_ms = self.application.clock.monotonic_ms()
-        self.application.last_request_ms = self.progress.begun_ms
+        """Parse, admit and dispatch the request; raises AspengateError.
+
+        The filters that admitted it are finished in reverse order, whatever the outcome.
+        """
+        self.progress.started_ms = self.application.clock.monotonic_ms()
+        self.application.last_request_ms = self.progress.started_ms
         request = self.application.header_codec.parse_request(self.caller.request)
         self.request_id = request.request_id
-        if self.application.refusing():
+        if self.application.is_refusing():
             raise AspengateError(ErrorKind.LEAVING, "this router is being stopped")
         self.exchange = self._new_exchange(request)
-        passed: list[Filter] = []
+        applied: list[Filter] = []
         failure: ErrorKind | None = None
         try:
             for step in self.application.admission:
                 self.exchange = step.apply(self.exchange)
-                passed.append(step)
+                applied.append(step)
             self.progress.admitted_ms = self.application.clock.monotonic_ms()
             self.application.dispatcher.run(self.exchange, self.caller, self.progress)
         except AspengateError as error:
@@ -102,20 +105,20 @@
         finally:
             outcome = self.progress.outcome(failure, _event_tokens(self.exchange))
             self.progress.settled_tokens = used_tokens(self.exchange, outcome)
-            for step in reversed(passed):
+            for step in reversed(applied):
                 step.finish(self.exchange, outcome)
 
-    def fail(self, error: AspengateError) -> None:
-        """Tell the caller an error, or cut an answer that has begun."""
-        truthful = _truthful(error, self.progress)
+    def handle_error(self, error: AspengateError) -> None:
+        """Send an error response, or cut off a response that has started; log the request."""
+        reported = _with_correct_run_state(error, self.progress)
         try:
-            self._answer(truthful)
+            self._send_error(reported)
         finally:
-            self.tell(truthful)
+            self.log_end(reported)
 
-    def tell(self, error: AspengateError | None) -> None:
-        """Write the request's line in the log."""
-        self.application.log.ended(
+    def log_end(self, error: AspengateError | None) -> None:
+        """Write the request's log line."""
+        self.application.log.record_end(
             self.request_id,
             self.caller.request.received_ms,
             self.exchange,
@@ -126,11 +129,11 @@
     def _new_exchange(self, request: CallerRequest) -> Exchange:
         deadline = request.deadline_ms
         if deadline is None:
-            deadline = request.received_ms + _LONGEST_MS
+            deadline = request.received_ms + _DEFAULT_DEADLINE_MS
         waiter = Waiter(self.application.clock, self.caller.socket, deadline)
         return Exchange(request, self.application.holder.current, waiter)
 
-    def _answer(self, error: AspengateError) -> None:
+    def _send_error(self, error: AspengateError) -> None:
         if self.caller.started:
             self.caller.cut()
             return
@@ -146,21 +149,25 @@
 
 
 def _event_tokens(exchange: Exchange) -> int:
-    """Return how many tokens one event of the exchange's stream holds at most."""
+    """Return the maximum number of tokens in one event of the exchange's stream."""
     engine = exchange.service.engine if exchange.service else None
     return engine.event_tokens if engine else 1
 
 
-def _truthful(error: AspengateError, progress: Progress) -> AspengateError:
-    """Return the error to tell, such that what it says of the run is true."""
+def _with_correct_run_state(error: AspengateError, progress: Progress) -> AspengateError:
+    """Return the error to report to the caller, whose kind states correctly if the request ran.
+
+    An error whose kind means "not run" becomes OUTCOME_UNKNOWN if the request may have run, and one
+    whose kind means that it may have run becomes OVERLOADED if it was never sent.
+    """
     says_not_run = error.answer.run_state is RunState.NOT_RUN
     if progress.may_have_run and says_not_run:
         return AspengateError(ErrorKind.OUTCOME_UNKNOWN, str(error))
-    if not progress.may_have_run and error.kind in _NEVER_SENT:
+    if not progress.may_have_run and error.kind in _IMPLIES_SENT:
         return AspengateError(ErrorKind.OVERLOADED, str(error))
     return error
 
 
-_NEVER_SENT = frozenset(
+_IMPLIES_SENT = frozenset(
     {ErrorKind.DEADLINE_EXCEEDED, ErrorKind.UPSTREAM_FAILED, ErrorKind.OUTCOME_UNKNOWN}
 )
--- a/src/aspengate/gateway/_attempt.py
+++ b/src/aspengate/gateway/_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: one replica gets the request, and its answer's head is awaited."""
+"""Sends a request to one replica and waits for the head of its response."""
 
 from dataclasses import dataclass
 
@@ -23,32 +23,37 @@
     Standing,
 )
 
-_LEAST_URGENT = 9
-_ROUTE_PRIORITIES = 3
-_UNREACHED_PAUSE_MS = 1_000.0
+_LOWEST_URGENCY = 9
+_ROUTE_PRIORITY_LEVELS = 3
+_CONNECT_FAILURE_BACKOFF_MS = 1_000.0
 
 
 class RetryableAttemptError(Exception):
-    """An attempt failed in a way that lets another replica be tried.
+    """An attempt failed in a way that allows a retry at another replica.
 
-    ``sent`` tells whether the replica may have received the request; ``paid`` whether the
-    repeat was taken from the retry budget already, ``misdirected`` whether another replica than
-    the one that was meant has answered.
+    ``sent`` states whether the replica may have received the request, ``retry_acquired`` whether a
+    retry has already been acquired from the retry budget, and ``misdirected`` whether a replica
+    other than the addressed one responded.
     """
 
     def __init__(
-        self, cause: AspengateError, *, sent: bool, paid: bool = False, misdirected: bool = False
+        self,
+        cause: AspengateError,
+        *,
+        sent: bool,
+        retry_acquired: bool = False,
+        misdirected: bool = False,
     ) -> None:
         super().__init__(str(cause))
         self.cause = cause
         self.sent = sent
-        self.paid = paid
+        self.retry_acquired = retry_acquired
         self.misdirected = misdirected
 
 
 @dataclass(frozen=True)
 class AttemptDependencies:
-    """What attempts use."""
+    """The services that attempts use."""
 
     header_codec: HeaderCodec
     pool: ConnectionPool
@@ -58,11 +63,11 @@
 
 
 class Attempt:
-    """A request at one replica, counted there until ``end``.
+    """One send of a request to one replica, which counts as in flight there until ``end``.
 
-    ``release`` keeps its connection after a whole answer; otherwise ``end`` closes it, which
-    ends the run. ``replica_run`` names the replica's present run. Times are in the clock's
-    monotonic milliseconds.
+    ``release`` returns the connection to the pool after a complete response; otherwise ``end``
+    closes it, which makes the replica cancel the request. ``replica_run`` identifies the replica's
+    current process. Times are in the clock's monotonic milliseconds.
     """
 
     def __init__(
@@ -70,7 +75,7 @@
         dependencies: AttemptDependencies,
         exchange: Exchange,
         candidate: Candidate,
-        patience: AttemptTimeouts,
+        timeouts: AttemptTimeouts,
         permit: Permit,
         replica_run: str,
     ) -> None:
@@ -78,33 +83,32 @@
         self.exchange = exchange
         self.candidate = candidate
         self.view = candidate.view
-        self.life = candidate.view.life
-        self.patience = patience
+        self.incarnation = candidate.view.life
+        self.timeouts = timeouts
         self.permit = permit
         self.replica_run = replica_run
         self.sent = False
         self.sent_ms = float("inf")
         self.reused = False
         self.outcome = ""
-        self.begun_ms = dependencies.clock.monotonic_ms()
-        self.first_ms: float | None = None
+        self.started_ms = dependencies.clock.monotonic_ms()
+        self.first_response_ms: float | None = None
         self.notice = ReplicaNotice()
         self.ended_ms: float | None = None
         self.connection: ReplicaConnection | None = None
         self._in_flight = self.view.in_flight
         gap_aim_ms = exchange.known_route.longest_gap_ms
-        self._work = self.view.begin(self.begun_ms, candidate.tokens, gap_aim_ms)
+        self._work = self.view.begin(self.started_ms, candidate.tokens, gap_aim_ms)
 
     def send(self, last_event_id: str) -> ReplicaAnswer:
-        """Send the request and return the answer, of which the head has come.
+        """Send the request and return the response once its head has arrived.
 
-        Raises RetryableAttemptError where the replica was not reached, accepts no requests, or is
-        given up because it says nothing; otherwise UPSTREAM_FAILED, DEADLINE_EXCEEDED or
-        CallerGoneError.
+        Raises RetryableAttemptError if the replica is not reached, no longer accepts requests, or
+        is abandoned by a timeout; otherwise UPSTREAM_FAILED, DEADLINE_EXCEEDED or CallerGoneError.
         """
         connection = self._connect()
         head = self._head(last_event_id)
-        self._check_standing()
+        self._check_availability()
         self.sent = True
         self.sent_ms = self.dependencies.clock.monotonic_ms()
         try:
@@ -117,39 +121,42 @@
         self.permit.settle(sent=True)
         answer = self._await_head(connection)
         now = self.dependencies.clock.monotonic_ms()
-        self.first_ms = now - self.begun_ms
+        self.first_response_ms = now - self.started_ms
         self.view.sign_of_life(now)
         return answer
 
-    def note_first(self) -> None:
-        """Learn from the beginning of an answer that was made by running the request.
+    def record_first_response(self) -> None:
+        """Feed the time to first response into the estimates; only for requests that were run.
 
-        A refusal or a failure tells nothing of how fast a replica is: learnt from as well, it made
-        one that turned requests away at once look 2.7 times as fast as usual after ten of them.
+        Refusals and failures say nothing about a replica's speed: when they were included, a
+        replica that rejected requests at once seemed 2.7 times as fast as usual after ten of them.
         """
-        if self.first_ms is not None:
-            first_ms = self.begun_ms + self.first_ms
-            self.dependencies.chooser.note_first(self.candidate, self._work, first_ms)
+        if self.first_response_ms is not None:
+            arrived_ms = self.started_ms + self.first_response_ms
+            self.dependencies.chooser.note_first(self.candidate, self._work, arrived_ms)
 
-    def note_sign(self) -> None:
-        """Note that more of the answer has come."""
+    def record_activity(self) -> None:
+        """Record that more of the response has arrived."""
         self.view.sign_of_life(self.dependencies.clock.monotonic_ms())
 
-    def note_event(self, now_ms: float) -> None:
-        """Note that an event of a stream has come."""
+    def record_event(self, now_ms: float) -> None:
+        """Record the arrival of a stream event."""
         self.view.event(self._work, now_ms)
 
     def release(self, answer: ReplicaAnswer) -> None:
-        """Keep the connection for further requests; the answer was whole.
+        """Return the connection to the pool after a complete response.
 
-        One to a replica that leaves serves no more requests, and ``end`` closes it.
+        If the replica is shutting down, it is not returned, and ``end`` closes it.
         """
         if self.connection is not None and not self.view.said.is_leaving:
-            self.dependencies.pool.give_back(self.life, self.connection, answer.rest_ms)
+            self.dependencies.pool.give_back(self.incarnation, self.connection, answer.rest_ms)
             self.connection = None
 
     def end(self, outcome: str, *, failed: bool) -> None:
-        """End the attempt, and the run if it still goes on; a replica's failure is remembered."""
+        """End the attempt, and close its connection unless released; does nothing if it has ended.
+
+        ``outcome`` is logged. ``failed`` counts the attempt as a failure of the replica.
+        """
         if self.ended_ms is not None:
             return
         self.ended_ms = self.dependencies.clock.monotonic_ms()
@@ -159,22 +166,22 @@
         if failed:
             self.view.failed(self.ended_ms)
         elif self.connection is None and self.sent:
-            whole_ms = self.ended_ms - self.begun_ms
-            plain = self.exchange.known_service.engine is None
-            self.view.succeeded(self.ended_ms, whole_ms if plain else None)
+            total_ms = self.ended_ms - self.started_ms
+            is_plain = self.exchange.known_service.engine is None
+            self.view.succeeded(self.ended_ms, total_ms if is_plain else None)
         if self.connection is not None:
             self.connection.close()
             self.connection = None
 
     @property
-    def arrived_by_ms(self) -> float:
-        """By when the replica got the request if it ever does, in monotonic milliseconds.
+    def latest_arrival_ms(self) -> float:
+        """The latest time at which the replica may receive the request, in monotonic milliseconds.
 
-        Without an answer that is as long after the end of the connection as the system sends
-        again what was not acknowledged.
+        Without a response, the operating system may retransmit unacknowledged data for
+        ``UNACKNOWLEDGED_MS`` after the connection is closed.
         """
-        if self.first_ms is not None:
-            return self.begun_ms + self.first_ms
+        if self.first_response_ms is not None:
+            return self.started_ms + self.first_response_ms
         return self._ended_or_now_ms + UNACKNOWLEDGED_MS
 
     @property
@@ -184,7 +191,7 @@
         )
 
     def log_fields(self) -> dict[str, object]:
-        """Return what the log tells of this attempt; durations are in milliseconds."""
+        """Return the log fields of this attempt; durations are in milliseconds."""
         ended_ms = self._ended_or_now_ms
         return {
             "replica": self.view.identity,
@@ -196,8 +203,8 @@
             "expected_ms": round(self.candidate.first_ms),
             "harm_ms": round(self.candidate.harm_ms),
             "reused": self.reused,
-            "first_ms": None if self.first_ms is None else round(self.first_ms),
-            "held_ms": round(ended_ms - self.begun_ms),
+            "first_ms": None if self.first_response_ms is None else round(self.first_response_ms),
+            "held_ms": round(ended_ms - self.started_ms),
             "leaving": self.notice.leaving,
             "rest_ms": round(self.notice.rest_ms),
             "limit": self.notice.limit,
@@ -205,32 +212,35 @@
         }
 
     def _await_head(self, connection: ReplicaConnection) -> ReplicaAnswer:
-        identity = self.exchange.request.request_id
+        request_id = self.exchange.request.request_id
         header_codec = self.dependencies.header_codec
         while True:
             answer = ReplicaAnswer.await_head(
                 connection,
                 self.exchange.waiter,
-                lambda headers: header_codec.matches_request(headers, identity),
-                self.patience.next_look_ms,
+                lambda headers: header_codec.matches_request(headers, request_id),
+                self.timeouts.next_check_ms,
             )
             if answer is not None:
                 return answer
-            if self.patience.is_over():
-                silent = AspengateError(
+            if self.timeouts.should_abandon():
+                unresponsive = AspengateError(
                     ErrorKind.UPSTREAM_FAILED, "says nothing", where=connection.address
                 )
-                raise RetryableAttemptError(silent, sent=True, paid=True)
+                raise RetryableAttemptError(unresponsive, sent=True, retry_acquired=True)
 
-    def _check_standing(self) -> None:
-        """Decide again just before the first byte goes; raises RetryableAttemptError.
+    def _check_availability(self) -> None:
+        """Check again, just before the first byte is sent; raises RetryableAttemptError.
 
-        Since the choice the connection came up, which may take a second, and answers to other
-        requests may have said that the replica leaves, wants rest or names a limit.
+        Opening the connection may take a second after the replica was selected. In that time,
+        responses to other requests may have announced that it is shutting down, asks for a backoff
+        or has a rate limit.
         """
-        standing = self.dependencies.registry.standing(self.view)
-        if standing is not Standing.OPEN:
-            cause = AspengateError(ErrorKind.NO_UPSTREAM, standing.value, where=self.view.identity)
+        availability = self.dependencies.registry.standing(self.view)
+        if availability is not Standing.OPEN:
+            cause = AspengateError(
+                ErrorKind.NO_UPSTREAM, availability.value, where=self.view.identity
+            )
             raise RetryableAttemptError(cause, sent=False)
         if not self.permit.holds(self.dependencies.clock.monotonic_ms()):
             cause = AspengateError(ErrorKind.AT_LIMIT, "no permit", where=self.view.identity)
@@ -238,7 +248,7 @@
 
     def _connect(self) -> ReplicaConnection:
         self.exchange.waiter.check_caller()
-        connection = self.dependencies.pool.take(self.life)
+        connection = self.dependencies.pool.take(self.incarnation)
         self.reused = connection is not None
         if connection is None:
             connection = self._open()
@@ -246,13 +256,13 @@
         return connection
 
     def _open(self) -> ReplicaConnection:
-        remaining = self.exchange.waiter.remaining_ms
-        if remaining <= 0:
+        remaining_ms = self.exchange.waiter.remaining_ms
+        if remaining_ms <= 0:
             raise AspengateError(ErrorKind.DEADLINE_EXCEEDED, "no time is left")
         try:
-            return self.dependencies.pool.open(self.view.replica.address, remaining)
+            return self.dependencies.pool.open(self.view.replica.address, remaining_ms)
         except AspengateError as error:
-            self.view.unreached(self.dependencies.clock.monotonic_ms(), _UNREACHED_PAUSE_MS)
+            self.view.unreached(self.dependencies.clock.monotonic_ms(), _CONNECT_FAILURE_BACKOFF_MS)
             raise RetryableAttemptError(error, sent=False) from error
 
     def _head(self, last_event_id: str) -> RequestHead:
@@ -270,9 +280,11 @@
 
 
 def urgency(exchange: Exchange) -> int:
-    """Return how urgent a request is to a replica, from 0, the most urgent, to 9.
+    """Return a request's urgency for the replica, from 0, the most urgent, to 9.
 
-    The account's priority comes first, then the route's.
+    The account's priority takes precedence over the route's.
     """
     account = exchange.account.priority if exchange.account else 0
-    return max(0, min(_LEAST_URGENT, account * _ROUTE_PRIORITIES + exchange.known_route.priority))
+    return max(
+        0, min(_LOWEST_URGENCY, account * _ROUTE_PRIORITY_LEVELS + exchange.known_route.priority)
+    )
--- a/src/aspengate/gateway/_daemon.py
+++ b/src/aspengate/gateway/_daemon.py
@@ -222,7 +222,7 @@
         self._sleep_until(plan.refuse_ms)
         self.refusing = True
         log_change("gateway.refusing", name=self.settings.name)
-        while not self.server.is_idle and self.clock.monotonic_ms() < plan.last_ms:
+        while not self.server.is_idle and self.clock.monotonic_ms() < plan.deadline_ms:
             self.clock.sleep_ms(_DRAIN_POLL_MS)
         done = self.server.is_idle
         self.close()
@@ -391,7 +391,7 @@
             ),
             clock=self.clock,
             log=self.log,
-            refusing=lambda: self.refusing,
+            is_refusing=lambda: self.refusing,
         )
 
     def _make_asker(self) -> PermitAsker:
--- a/src/aspengate/gateway/_dispatcher.py
+++ b/src/aspengate/gateway/_dispatcher.py
@@ -1,4 +1,4 @@
-"""Sends an admitted request to replicas until one of them has answered."""
+"""Sends an admitted request to replicas until one of them responds."""
 
 from http import HTTPStatus
 
@@ -21,12 +21,12 @@
 
 _SUCCESS = range(200, 300)
 _SERVER_ERROR = range(500, 600)
-_MOST_UNREACHED = 4
+_MAX_UNSENT_ATTEMPTS = 4
 _REPLICA_FAILURES = frozenset({ErrorKind.UPSTREAM_FAILED, ErrorKind.DEADLINE_EXCEEDED})
 
 
 class Dispatcher:
-    """Makes the attempts of each request, within its route's bound and the retry budget."""
+    """Makes the attempts of each request, within its route's maximum and the retry budget."""
 
     def __init__(
         self,
@@ -45,93 +45,94 @@
         self.relay = AnswerRelay(dependencies.header_codec, counters)
 
     def run(self, exchange: Exchange, caller: CallerConnection, progress: Progress) -> None:
-        """Answer the caller with a replica's answer; raises AspengateError where none serves."""
+        """Relay a replica's response to the caller; raises AspengateError if there is none."""
         self.retries.record_request(exchange.known_service.name)
         progress.last_event_id = exchange.request.last_event_id
         self._admit(exchange, progress)
         answered = False
         try:
-            self._try_replicas(exchange, caller, progress)
+            self._run_attempts(exchange, caller, progress)
             answered = True
         finally:
-            self._settle_repeats(exchange, progress)
-            if progress.crash_try is not None:
-                self.crashes.end_try(progress.crash_try, answered=answered)
+            self._settle_retries(exchange, progress)
+            if progress.crash_trial is not None:
+                self.crashes.end_try(progress.crash_trial, answered=answered)
 
     def _admit(self, exchange: Exchange, progress: Progress) -> None:
         """Have the crash guard admit the next attempt; raises SUSPECTED or QUARANTINED.
 
-        Without it each try of a caller is a new request: 20 replicas ended in 40 s under one that
-        came back twice a second (1 day, 4 routers).
+        Each retry of a caller used to count as a new request, so one request that its caller sent
+        again twice a second crashed 20 replicas in 40 s.
         """
-        progress.crash_try = self.crashes.admit(exchange.fingerprint, progress.crash_try)
+        progress.crash_trial = self.crashes.admit(exchange.fingerprint, progress.crash_trial)
 
-    def _try_replicas(
+    def _run_attempts(
         self, exchange: Exchange, caller: CallerConnection, progress: Progress
     ) -> None:
         while True:
-            attempt = self._attempt(exchange, progress)
+            attempt = self._make_attempt(exchange, progress)
             try:
                 self._serve(attempt, exchange, caller, progress)
-                # Counted as good, a failure at once drew 40 of 40 requests beside a sound replica.
+                # When immediate failures counted as successes, a failing replica attracted 40 of 40
+                # requests although a healthy one was available.
                 attempt.end("answered", failed=progress.status in _SERVER_ERROR)
                 self.crashes.note_answered(exchange.fingerprint)
                 return
             except RetryableAttemptError as failure:
-                self._note_lost(attempt, failure.cause, exchange, progress)
+                self._record_lost(attempt, failure.cause, exchange, progress)
                 attempt.end(str(failure), failed=failure.sent and not failure.misdirected)
                 progress.excluded.add(attempt.view.identity)
-                self._check_another(exchange, progress, failure)
+                self._check_retry(exchange, progress, failure)
             except AspengateError as error:
-                self._note_lost(attempt, error, exchange, progress)
+                self._record_lost(attempt, error, exchange, progress)
                 attempt.end(str(error), failed=error.kind in _REPLICA_FAILURES)
                 raise
             finally:
                 attempt.end("fault", failed=False)
 
-    def _note_lost(
+    def _record_lost(
         self, attempt: Attempt, error: AspengateError, exchange: Exchange, progress: Progress
     ) -> None:
-        """Tell the crash guard where the replica may have ended."""
+        """Report to the crash guard if the failure suggests that the replica has terminated."""
         if attempt.sent and isinstance(error, BrokenAnswerError):
             address = attempt.view.replica.address
             self.crashes.note_lost(
-                exchange.fingerprint, attempt.replica_run, address, progress.crash_try
+                exchange.fingerprint, attempt.replica_run, address, progress.crash_trial
             )
         elif isinstance(error.__cause__, ConnectionRefusedError):
             self.crashes.note_refused(attempt.replica_run)
 
-    def _settle_repeats(self, exchange: Exchange, progress: Progress) -> None:
-        """Tell the retry budget when the last of the request's arrivals was, or will have been."""
-        allowed = sum(decision.allowed for decision in progress.repeats)
+    def _settle_retries(self, exchange: Exchange, progress: Progress) -> None:
+        """Report to the retry budget how many retries were sent, and their latest arrival."""
+        allowed = sum(decision.allowed for decision in progress.retry_decisions)
         if not allowed:
             return
-        sent = [attempt for attempt in progress.made if attempt.sent]
+        sent = [attempt for attempt in progress.all_attempts if attempt.sent]
         self.retries.settle(
             exchange.known_service.name,
             allowed=allowed,
             arrived=len(sent) - 1,
-            arrived_ms=max((attempt.arrived_by_ms for attempt in sent), default=0.0),
+            arrived_ms=max((attempt.latest_arrival_ms for attempt in sent), default=0.0),
         )
 
-    def _attempt(self, exchange: Exchange, progress: Progress) -> Attempt:
+    def _make_attempt(self, exchange: Exchange, progress: Progress) -> Attempt:
         candidate, permit = self.selection.choose(exchange, progress.excluded)
         self._await_permit(permit, exchange)
 
-        def may_repeat() -> bool:
-            attempts = progress.attempts + 1
-            return self._may_repeat(exchange, progress, attempts=attempts, to_spare=True)
+        def may_retry() -> bool:
+            attempts = progress.sent_attempts + 1
+            return self._acquire_retry(exchange, progress, attempts=attempts, to_spare=True)
 
-        patience = AttemptTimeouts(
-            exchange.known_route, candidate, self.dependencies.clock, may_repeat
+        timeouts = AttemptTimeouts(
+            exchange.known_route, candidate, self.dependencies.clock, may_retry
         )
         replica_run = self.crashes.run_of(candidate.view.life)
-        attempt = Attempt(self.dependencies, exchange, candidate, patience, permit, replica_run)
-        progress.made.append(attempt)
+        attempt = Attempt(self.dependencies, exchange, candidate, timeouts, permit, replica_run)
+        progress.all_attempts.append(attempt)
         return attempt
 
     def _await_permit(self, permit: Permit, exchange: Exchange) -> None:
-        """Wait until a permit is ready; raises CallerGoneError where its caller leaves."""
+        """Wait until a permit is ready; raises CallerGoneError if the caller disconnects."""
         if permit.ready_ms <= self.dependencies.clock.monotonic_ms():
             return
         self.counters.count("gateway.waited_for_permit")
@@ -148,80 +149,81 @@
         caller: CallerConnection,
         progress: Progress,
     ) -> None:
-        ran_before = progress.may_have_run
-        answer = self._begin(attempt, exchange, progress)
-        self._take_notice(attempt, answer)
+        may_have_run_before = progress.may_have_run
+        answer = self._send(attempt, exchange, progress)
+        self._record_notice(attempt, answer)
         if self.dependencies.header_codec.is_not_executed(answer.status, answer.headers):
-            progress.may_have_run = ran_before
-            if progress.crash_try is not None:
-                progress.crash_try.sent = False
-            misdirected = self.dependencies.header_codec.is_misdirected(answer.status)
-            if misdirected:
-                self._note_replaced(attempt, progress)
+            progress.may_have_run = may_have_run_before
+            if progress.crash_trial is not None:
+                progress.crash_trial.sent = False
+            is_misdirected = self.dependencies.header_codec.is_misdirected(answer.status)
+            if is_misdirected:
+                self._record_replaced(attempt, progress)
             refused = AspengateError(ErrorKind.OVERLOADED, f"refused with {answer.status}")
-            raise RetryableAttemptError(refused, sent=True, misdirected=misdirected)
+            raise RetryableAttemptError(refused, sent=True, misdirected=is_misdirected)
         if answer.status not in _SERVER_ERROR:
-            attempt.note_first()
+            attempt.record_first_response()
         if answer.status in _SUCCESS and not self.dependencies.header_codec.is_signed(
             answer.headers
         ):
             raise AspengateError(ErrorKind.UPSTREAM_FAILED, "an unsigned answer")
         if _is_event_stream(answer) and answer.status in _SUCCESS:
-            self.relay.stream(attempt, answer, caller, progress)
+            self.relay.relay_stream(attempt, answer, caller, progress)
             return
         if caller.started:
-            raise AspengateError(ErrorKind.UPSTREAM_FAILED, f"resumed with {answer.status}")
+            raise AspengateError(ErrorKind.UPSTREAM_FAILED, f"replica responded {answer.status} to a resumed stream")
         failed = answer.status in _SERVER_ERROR and exchange.known_route.repeatable
-        if failed and self._may_repeat(exchange, progress, attempts=progress.attempts):
+        if failed and self._acquire_retry(exchange, progress, attempts=progress.sent_attempts):
             cause = AspengateError(ErrorKind.UPSTREAM_FAILED, f"answered {answer.status}")
-            raise RetryableAttemptError(cause, sent=True, paid=True)
-        self.relay.whole(attempt, answer, caller)
+            raise RetryableAttemptError(cause, sent=True, retry_acquired=True)
+        self.relay.relay_buffered(attempt, answer, caller)
         progress.status = answer.status
 
-    def _take_notice(self, attempt: Attempt, answer: ReplicaAnswer) -> None:
-        """Take what the replica says of itself.
+    def _record_notice(self, attempt: Attempt, answer: ReplicaAnswer) -> None:
+        """Record what the response states about its replica: shutdown, backoff, rate limit.
 
-        A 421 is the word of whoever is at its address now, and a success without a signature
-        nobody's.
+        A 421 response and an unsigned success are ignored: the former comes from another process
+        at the same address, and the origin of the latter is unknown.
         """
         header_codec = self.dependencies.header_codec
         if header_codec.is_misdirected(answer.status):
             return
         if answer.status in _SUCCESS and not header_codec.is_signed(answer.headers):
             return
-        asks_for_rest = answer.status == HTTPStatus.SERVICE_UNAVAILABLE
-        limit, unreadable = self._named_limit(answer)
+        requests_backoff = answer.status == HTTPStatus.SERVICE_UNAVAILABLE
+        limit, unreadable = self._read_rate_limit(answer)
         attempt.notice = ReplicaNotice(
             leaving=header_codec.is_leaving(answer.headers),
-            rest_ms=answer.retry_after_ms if asks_for_rest else 0.0,
+            rest_ms=answer.retry_after_ms if requests_backoff else 0.0,
             limit=limit,
             unreadable=unreadable,
         )
         if attempt.notice.says_anything or attempt.view.said.limit.is_in_force:
             self.registry.note_said(attempt.view, attempt.notice, attempt.sent_ms)
         if attempt.notice.leaving:
-            # It closes them: a request that meets the close is lost.
-            self.dependencies.pool.forget(attempt.life)
+            # The replica closes its connections: a request sent on one of them then would be lost.
+            self.dependencies.pool.forget(attempt.incarnation)
 
-    def _named_limit(self, answer: ReplicaAnswer) -> tuple[float | None, str]:
-        """Return the limit that an answer names, or what it names instead of one."""
+    def _read_rate_limit(self, answer: ReplicaAnswer) -> tuple[float | None, str]:
+        """Return the rate limit in a response, or None and the text that can't be parsed."""
         try:
             return self.dependencies.header_codec.rate_limit(answer.headers), ""
         except AspengateError as error:
             self.counters.count("replica_limits.unreadable")
             return None, error.message
 
-    def _note_replaced(self, attempt: Attempt, progress: Progress) -> None:
-        """Send no more to a replica that is gone; it was none of those that the route allows.
+    def _record_replaced(self, attempt: Attempt, progress: Progress) -> None:
+        """Exclude a replica whose address now belongs to another one; discount the attempt.
 
-        Of the requests that met replicas which had come back under new ids, 2% of a day's were
-        refused after one attempt with time and other replicas left (1 day, 68 routers).
+        The attempt does not count towards the route's maximum. When it did, 2% of the requests that
+        reached replicas restarted under new ids were refused after one attempt, although time and
+        other replicas were left.
         """
-        self.registry.note_replaced(attempt.life)
-        progress.attempts -= 1
+        self.registry.note_replaced(attempt.incarnation)
+        progress.sent_attempts -= 1
         self.counters.count("gateway.misdirected")
 
-    def _begin(self, attempt: Attempt, exchange: Exchange, progress: Progress) -> ReplicaAnswer:
+    def _send(self, attempt: Attempt, exchange: Exchange, progress: Progress) -> ReplicaAnswer:
         try:
             return attempt.send(progress.last_event_id)
         except AspengateError as error:
@@ -230,60 +232,63 @@
             raise
         finally:
             if attempt.sent:
-                progress.attempts += 1
+                progress.sent_attempts += 1
                 progress.may_have_run = True
-                if progress.crash_try is not None:
-                    progress.crash_try.sent = True
+                if progress.crash_trial is not None:
+                    progress.crash_trial.sent = True
 
-    def _check_another(
+    def _check_retry(
         self, exchange: Exchange, progress: Progress, failure: RetryableAttemptError
     ) -> None:
-        """Raise the cause of a failure where no further attempt may be made."""
+        """Raise the cause of a failure if no further attempt may be made."""
         if failure.sent:
-            # A try of a suspect request is recorded only for a repeat that is made.
-            may_repeat = failure.paid or self._may_be_sent_again(exchange, progress)
+            # The trial of a suspected request is recorded only once its retry has been acquired.
+            may_retry = failure.retry_acquired or self._check_and_acquire_retry(exchange, progress)
         else:
-            progress.unreached += 1
-            may_repeat = progress.unreached < _MOST_UNREACHED
-        if not may_repeat:
-            raise self._final(failure.cause, exchange.known_service.name)
+            progress.unsent_attempts += 1
+            may_retry = progress.unsent_attempts < _MAX_UNSENT_ATTEMPTS
+        if not may_retry:
+            raise self._final_error(failure.cause, exchange.known_service.name)
         try:
             self._admit(exchange, progress)
         except AspengateError as refusal:
             raise failure.cause from refusal
 
-    def _final(self, cause: AspengateError, service: str) -> AspengateError:
-        """Return what ends a request: where all replicas rest, a refusal tells until when."""
+    def _final_error(self, cause: AspengateError, service: str) -> AspengateError:
+        """Return the error that ends a request; if no replica is ready, it gives the reasons.
+
+        If all replicas are backing off, that error carries the time after which to retry.
+        """
         if cause.kind is ErrorKind.OVERLOADED and not self.registry.ready(service):
-            return self.selection.no_replica(service)
+            return self.selection.no_replica_error(service)
         return cause
 
-    def _may_be_sent_again(self, exchange: Exchange, progress: Progress) -> bool:
-        """Take a repeat for a request that the crash guard does not refuse, if there is one."""
+    def _check_and_acquire_retry(self, exchange: Exchange, progress: Progress) -> bool:
+        """Acquire a retry unless the crash guard refuses the request; return whether it was."""
         try:
-            self.crashes.check(exchange.fingerprint, progress.crash_try)
+            self.crashes.check(exchange.fingerprint, progress.crash_trial)
         except AspengateError:
             return False
-        return self._may_repeat(exchange, progress, attempts=progress.attempts)
+        return self._acquire_retry(exchange, progress, attempts=progress.sent_attempts)
 
-    def _may_repeat(
+    def _acquire_retry(
         self, exchange: Exchange, progress: Progress, *, attempts: int, to_spare: bool = False
     ) -> bool:
-        """Take one more attempt from the route's bound and the retry budget, if there is one.
+        """Acquire a retry within the route's maximum and the retry budget; return whether it was.
 
-        ``attempts`` counts those that were sent, with the one in hand. ``to_spare`` tells that this
-        one has not failed.
+        ``attempts`` is the number of attempts sent, including the current one. ``to_spare`` states
+        that the current one has not failed.
         """
         if attempts >= exchange.known_route.max_attempts:
             return False
         service = exchange.known_service
-        # The replica of the attempt in hand is not another one: a slow answer or a failure of the
-        # only replica is passed on, and not replaced by an error of this router.
-        tried = progress.excluded | {attempt.view.identity for attempt in progress.made}
-        if not self.selection.open(service, tried, to_spare=to_spare):
+        # The current attempt's replica does not count as an alternative: a slow response or a
+        # failure of the only replica is relayed, not replaced by an error of the gateway.
+        tried = progress.excluded | {attempt.view.identity for attempt in progress.all_attempts}
+        if not self.selection.available(service, tried, to_spare=to_spare):
             return False
         decision = self.retries.acquire(exchange.known_service.name)
-        progress.repeats.append(decision)
+        progress.retry_decisions.append(decision)
         if not decision.allowed:
             self.counters.count("gateway.retry_budget_spent")
             return False
--- a/src/aspengate/gateway/_exchange.py
+++ b/src/aspengate/gateway/_exchange.py
@@ -1,4 +1,4 @@
-"""The state of one request on its way through the gateway's filters."""
+"""The state of a request in the filter chain, and the interface of the filters."""
 
 from dataclasses import dataclass
 from functools import cached_property
@@ -13,10 +13,10 @@
 
 @dataclass(frozen=True)
 class Exchange:
-    """A request with what the filters found out so far.
+    """A request with the route, service and account that the filters have resolved so far.
 
-    ``deadline_ms`` is the earlier one of the caller's deadline and the route's timeout, in the
-    clock's monotonic time.
+    The deadline of ``waiter`` is the earlier of the caller's deadline and the route's timeout, in
+    the clock's monotonic time.
     """
 
     request: CallerRequest
@@ -28,31 +28,32 @@
 
     @property
     def known_route(self) -> Route:
-        """The route; the route filter comes first."""
+        """The route; raises INTERNAL before the route filter has run."""
         if self.route is None:
             raise AspengateError(ErrorKind.INTERNAL, "the route filter comes first")
         return self.route
 
     @property
     def known_service(self) -> Service:
-        """The service; the route filter comes first."""
+        """The service; raises INTERNAL before the route filter has run."""
         if self.service is None:
             raise AspengateError(ErrorKind.INTERNAL, "the route filter comes first")
         return self.service
 
     @cached_property
     def fingerprint(self) -> str:
-        """The id that this request shares with those that are the same, come again."""
+        """The request fingerprint: equal for requests of one account with equal target and body."""
         account = self.account.name if self.account else ""
         return content_id(account, self.request.target, self.request.body)
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """How a request ended, for the filters that passed it.
+    """How a request ended, as reported to the filters that admitted it.
 
-    ``attempts`` is to how many replicas it was sent, ``may_have_run`` whether one of them may
-    have run it. ``output_tokens`` is the exact number, where the answer was whole.
+    ``attempts`` is the number of times it was sent to a replica; ``may_have_run`` states whether
+    one of them may have run it. ``output_tokens`` is the exact number of generated tokens, None
+    unless the response was complete.
     """
 
     error: ErrorKind | None = None
@@ -62,10 +63,10 @@
 
 
 class Filter(Protocol):
-    """One step of admission."""
+    """One step of admission, applied before a request is dispatched."""
 
     def apply(self, exchange: Exchange) -> Exchange:
-        """Return the exchange with what this step found; raises AspengateError to refuse."""
+        """Return the exchange with this step's results; raises AspengateError to refuse it."""
 
     def finish(self, exchange: Exchange, outcome: Outcome) -> None:
-        """Undo or settle what ``apply`` did, once the request has ended."""
+        """Undo or settle the effects of ``apply`` after the request has ended."""
--- a/src/aspengate/gateway/_ports.py
+++ b/src/aspengate/gateway/_ports.py
@@ -1,4 +1,4 @@
-"""What the gateway needs of the place that it runs in."""
+"""The interfaces that a deployment implements for the gateway."""
 
 from typing import Protocol
 
@@ -12,10 +12,10 @@
 
 
 class HeaderCodec(Protocol):
-    """Reads callers' requests and writes replicas' requests in the deployment's own headers."""
+    """Converts requests and responses to and from the deployment's HTTP headers."""
 
     def parse_request(self, received: ReceivedRequest) -> CallerRequest:
-        """Return what a received request says; raises BAD_REQUEST."""
+        """Parse a received request; raises BAD_REQUEST."""
 
     def replica_headers(
         self,
@@ -27,41 +27,41 @@
         priority: int | None,
         last_event_id: str,
     ) -> Headers:
-        """Return the headers with which the replica ``identity`` gets a request."""
+        """Return the headers of a request to the replica ``identity``."""
 
     def response_headers(self, headers: Headers) -> Headers:
-        """Return the headers of a replica's answer that its caller is to get."""
+        """Return the headers of a replica's response that are passed on to the caller."""
 
     def matches_request(self, headers: Headers, request_id: str) -> bool:
-        """Return whether an answer names the request as its own."""
+        """Return whether a response carries this request's id."""
 
     def is_not_executed(self, status: int, headers: Headers) -> bool:
-        """Return whether a replica says that it did not run the request."""
+        """Return whether a response states that the replica did not run the request."""
 
     def is_misdirected(self, status: int) -> bool:
-        """Return whether another replica than the one that was meant answered."""
+        """Return whether the response comes from a replica other than the addressed one."""
 
     def is_signed(self, headers: Headers) -> bool:
-        """Return whether an answer carries a replica's signature."""
+        """Return whether a response carries a replica's signature."""
 
     def is_leaving(self, headers: Headers) -> bool:
-        """Return whether an answer says that its replica is going to end."""
+        """Return whether a response announces that its replica is shutting down."""
 
     def rate_limit(self, headers: Headers) -> float | None:
-        """Return how many requests a second an answer's replica takes from all routers together.
+        """Return the replica's rate limit in a response, in requests per second of all routers.
 
-        None where it names no limit; raises BAD_REQUEST where what it names can't be read.
+        None if it states no limit; raises BAD_REQUEST if the limit can't be parsed.
         """
 
     def error_headers(self, request_id: str) -> Headers:
-        """Return headers for an answer of the gateway's own."""
+        """Return the headers of an error response that the gateway itself makes."""
 
 
 class Deployment(Protocol):
-    """The place that a gateway runs in: its store, its records there, and its header codec.
+    """The environment of a gateway: its store, the records in it, and its header codec.
 
-    All that the operator writes lies below ``operator_prefix``, the configuration under
-    ``configuration_key``; the replicas write below ``replica_prefix``.
+    The operator writes below ``operator_prefix``, with the configuration at ``configuration_key``;
+    replicas write below ``replica_prefix``.
     """
 
     operator_prefix: str
@@ -70,20 +70,20 @@
 
     @property
     def store(self) -> KeyValueStore:
-        """The store that holds all that must last."""
+        """The store that holds all persistent state."""
 
     @property
     def header_codec(self) -> HeaderCodec:
-        """How requests and answers are spelt."""
+        """The codec for the headers of requests and responses."""
 
     def read_configuration(self, item: StoreItem) -> FleetConfiguration:
-        """Return the configuration that a store item holds; raises BAD_REQUEST."""
+        """Decode the configuration in a store item; raises BAD_REQUEST."""
 
     def read_evacuation(self, item: StoreItem) -> Evacuation | None:
-        """Return the evacuation that a store item asks for, None where it is another item."""
+        """Return the evacuation that a store item requests; None for items of other kinds."""
 
     def read_replica(self, item: StoreItem) -> Replica:
-        """Return the replica that a store item holds; raises BAD_REQUEST."""
+        """Decode the replica in a store item; raises BAD_REQUEST."""
 
     def read_order(self, item: StoreItem) -> tuple[int, ...] | None:
-        """Return how an item's writer orders what it writes there; None where it does not."""
+        """Return a sort key that rises with each write of an item; None if its writer has none."""
--- a/src/aspengate/gateway/_progress.py
+++ b/src/aspengate/gateway/_progress.py
@@ -1,4 +1,4 @@
-"""What has happened to one request so far."""
+"""Tracks the attempts and the stream position of one request."""
 
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
@@ -14,47 +14,50 @@
 
 @dataclass
 class Progress:
-    """Counts attempts, and remembers how far a stream has come.
-
-    ``made`` are all attempts; ``attempts`` of them were sent to a replica, ``unreached`` were
-    not; ``repeats`` are the decisions on repeating it; ``crash_try`` is its permission to be sent
-    though replicas ended under it. ``begun_ms`` is when the request was whole
-    and its handling began, ``admitted_ms`` when the filters had admitted it, both in monotonic
-    time. ``last_event_id`` is that of the last event that the caller got; ``events`` is how many
-    it got, and ``longest_gap_ms`` the longest pause between two of them. ``settled_tokens`` is
-    what its account was charged.
+    """Tracks the attempts of a request and the position of its stream.
+
+    ``sent_attempts`` is how many of ``all_attempts`` were sent to a replica, without misdirected
+    ones; ``unsent_attempts`` is how many were not sent. ``retry_decisions`` holds the decisions on
+    its retries, and ``crash_trial`` the permission to send it although replicas crashed while they
+    ran it. ``started_ms`` is when the request was complete and its handling started,
+    ``admitted_ms`` when the filters admitted it, both in monotonic time. ``last_event_id`` is the
+    id of the last event that the caller received, ``events`` the number of events received, and
+    ``longest_gap_ms`` the longest pause between two of them. ``is_complete`` is set once a stream
+    has been relayed to its end. ``settled_tokens`` is the number of tokens charged to the account.
     """
 
-    begun_ms: float = 0.0
+    started_ms: float = 0.0
     admitted_ms: float = 0.0
-    attempts: int = 0
-    unreached: int = 0
+    sent_attempts: int = 0
+    unsent_attempts: int = 0
     may_have_run: bool = False
     excluded: set[str] = field(default_factory=set)
-    made: "list[Attempt]" = field(default_factory=list)
-    repeats: list[RetryDecision] = field(default_factory=list)
-    crash_try: "CrashTry | None" = None
+    all_attempts: "list[Attempt]" = field(default_factory=list)
+    retry_decisions: list[RetryDecision] = field(default_factory=list)
+    crash_trial: "CrashTry | None" = None
     status: int = 0
     last_event_id: str = ""
     events: int = 0
     first_event_ms: float = 0.0
     last_event_ms: float = 0.0
     longest_gap_ms: float = 0.0
-    whole: bool = False
+    is_complete: bool = False
     settled_tokens: int = 0
 
-    def note_event(self, identity: str, now_ms: float) -> None:
-        """Count an event that the caller got."""
+    def record_event(self, event_id: str, now_ms: float) -> None:
+        """Count an event that was sent to the caller; ``event_id`` may be empty."""
         if self.events:
             self.longest_gap_ms = max(self.longest_gap_ms, now_ms - self.last_event_ms)
         else:
             self.first_event_ms = now_ms
         self.last_event_ms = now_ms
         self.events += 1
-        if identity:
-            self.last_event_id = identity
+        if event_id:
+            self.last_event_id = event_id
 
     def outcome(self, error: ErrorKind | None, event_tokens: int) -> Outcome:
-        """Return how the request ended; each event holds at most ``event_tokens``."""
-        output = self.events * event_tokens if self.whole and self.attempts == 1 else None
-        return Outcome(error, self.attempts, self.may_have_run, output)
+        """Return the outcome of the request; each event counts as ``event_tokens`` tokens."""
+        output = (
+            self.events * event_tokens if self.is_complete and self.sent_attempts == 1 else None
+        )
+        return Outcome(error, self.sent_attempts, self.may_have_run, output)
--- a/src/aspengate/gateway/_rate_limited_selection.py
+++ b/src/aspengate/gateway/_rate_limited_selection.py
@@ -1,4 +1,4 @@
-"""Chooses a replica where all that are open name limits, or says when a permit is ready."""
+"""Selects a replica if all available ones have rate limits, or says when to retry."""
 
 import random
 from collections.abc import Sequence
@@ -13,22 +13,22 @@
 from aspengate.replicas import Candidate, PromptShape, ReplicaChooser, ReplicaView
 from aspengate.telemetry import Counters
 
-# A request waits for a permit for this part of what is left of its objective at most: the rest is
-# for the replica, so that it is in time yet.
-_WAIT_PART = 0.5
-# So many routers are asked for one request. Each takes a round trip; those that had no permit are
-# not asked again before one is ready, so that later requests ask others.
-_MOST_ASKED = 4
-# What replicas whose limits have just ended are taken to bear, in requests a second.
-_LEAST_PER_SECOND = 0.05
+# The maximum wait for a permit as a fraction of the time left until the request's objective; the
+# rest is left to the replica, so that the objective can still be met.
+_MAX_WAIT_FRACTION = 0.5
+# The maximum number of routers to ask for a permit per request; each costs a round trip. A router
+# without a permit is not asked again until one is ready, so later requests ask other routers.
+_MAX_ROUTERS_ASKED = 4
+# The assumed rate of replicas whose limits have just ended, in requests per second.
+_MIN_PER_SECOND = 0.05
 
 
 class RateLimitedSelection:
-    """Finds a permit for a request, of this router or of another one, at the cheapest replica.
+    """Acquires a permit for the cheapest replica, from this router or from another one.
 
-    Load pattern: all replicas of a service are in need. Sent to any replica for which there is a
-    permit, prompts are read where none of their shared parts is held, and hold up the streams that
-    run there.
+    It handles the load pattern in which all replicas of a service announce rate limits. If requests
+    went to any replica with a permit instead, their prompts would be processed where no shared
+    prompt segment is cached, which delays the streams that run there.
     """
 
     def __init__(
@@ -49,22 +49,22 @@
     def choose(
         self, views: Sequence[ReplicaView], prompt: PromptShape, exchange: Exchange
     ) -> tuple[Candidate, Permit] | None:
-        """Return a replica of ``views``, and a permit that is ready in time; None for none."""
+        """Return a replica of ``views`` and a permit that is ready in time, or None."""
         if not views:
             return None
-        wait_ms = self._most_wait_ms(exchange)
+        wait_ms = self._max_wait_ms(exchange)
         now = self.clock.monotonic_ms()
         candidates = self.chooser.ranked(views, prompt, random.random(), now)
         asked: set[str] = set()
-        for place, candidate in enumerate(candidates):
-            found = self._own(candidate, exchange, wait_ms)
+        for index, candidate in enumerate(candidates):
+            found = self._acquire_own(candidate, exchange, wait_ms)
             holder = self.asker.holders.holder_of(candidate.view)
-            if found is None and holder and holder not in asked and len(asked) < _MOST_ASKED:
+            if found is None and holder and holder not in asked and len(asked) < _MAX_ROUTERS_ASKED:
                 asked.add(holder)
-                # The answer may also tell that the replica names no limit any more.
-                found = self._ask(holder, candidates[place:], exchange, wait_ms) or self._own(
-                    candidate, exchange, wait_ms
-                )
+                # The reply may also state that the replica no longer has a rate limit.
+                found = self._request_from(
+                    holder, candidates[index:], exchange, wait_ms
+                ) or self._acquire_own(candidate, exchange, wait_ms)
             if found is not None:
                 return found
         return None
@@ -72,12 +72,12 @@
     def refusal(
         self, limited: Sequence[ReplicaView], ready: int, exchange: Exchange
     ) -> AspengateError:
-        """Return the refusal of a request; ``limited`` of ``ready`` replicas name limits."""
+        """Return the error for a refused request; ``limited`` of ``ready`` replicas have limits."""
         self.counters.count("gateway.at_limit")
         now = self.clock.monotonic_ms()
         service = exchange.known_service.name
         per_second = sum(view.said.limit.rate_at(now) or 0.0 for view in limited)
-        per_second = max(per_second, _LEAST_PER_SECOND)
+        per_second = max(per_second, _MIN_PER_SECOND)
         waits = [self.bounds.limiter.ready_in_ms(view) for view in limited]
         waits += [self.asker.holders.ready_in_ms(view) for view in limited]
         ready_ms = min((each for each in waits if each is not None), default=1_000 / per_second)
@@ -90,17 +90,17 @@
         back_s = back_ms / 1_000
         return AspengateError(ErrorKind.AT_LIMIT, reason, where=service, retry_after_s=back_s)
 
-    def _own(
+    def _acquire_own(
         self, candidate: Candidate, exchange: Exchange, wait_ms: float
     ) -> tuple[Candidate, Permit] | None:
-        """Return a replica with a permit of this router's own, where there is one in time."""
+        """Return a replica with a permit of this router that is ready in time, or None."""
         permit = self.bounds.take(candidate.view, exchange.known_service, wait_ms)
         return None if permit is None else (candidate, permit)
 
-    def _ask(
+    def _request_from(
         self, holder: str, candidates: Sequence[Candidate], exchange: Exchange, wait_ms: float
     ) -> tuple[Candidate, Permit] | None:
-        """Ask a router for a permit for the first of some replicas that it may hold one for."""
+        """Request a permit from ``holder`` for the first of ``candidates`` that it can grant."""
         asked = {
             each.view.life: each
             for each in candidates
@@ -112,9 +112,9 @@
         permit = self.bounds.join(granted.view, exchange.known_service, granted.permit)
         return None if permit is None else (asked[granted.view.life], permit)
 
-    def _most_wait_ms(self, exchange: Exchange) -> float:
-        """Return how long a request may wait for a permit and be answered in time yet."""
+    def _max_wait_ms(self, exchange: Exchange) -> float:
+        """Return how long a request may wait for a permit and still meet its objective, in ms."""
         now = self.clock.monotonic_ms()
         objective_ms = exchange.request.received_ms + exchange.known_route.objective_ms
         left_ms = min(objective_ms - now, exchange.waiter.remaining_ms)
-        return max(0.0, _WAIT_PART * left_ms)
+        return max(0.0, _MAX_WAIT_FRACTION * left_ms)
--- a/src/aspengate/gateway/_ready.py
+++ b/src/aspengate/gateway/_ready.py
@@ -1,4 +1,4 @@
-"""Answers the balancer's question whether this router takes callers."""
+"""The readiness endpoint that load balancers poll."""
 
 from collections.abc import Callable, Iterable
 
@@ -9,13 +9,13 @@
 
 
 class ReadyApplication:
-    """A WSGI application that answers every path with the state of ``is_ready``."""
+    """A WSGI application that responds to every path with 200 if ``is_ready``, else 503."""
 
     def __init__(self, is_ready: Callable[[], bool]) -> None:
         self._is_ready = is_ready
 
     def __call__(self, environ: WsgiEnvironment, start_response: StartResponse) -> Iterable[bytes]:
-        """Answer one question."""
+        """Respond to one readiness check."""
         status = _READY if self._is_ready() else _NOT_READY
         start_response(status, [("Content-Type", "text/plain"), ("Content-Length", "0")])
         return [b""]
--- a/src/aspengate/gateway/_relay.py
+++ b/src/aspengate/gateway/_relay.py
@@ -1,4 +1,4 @@
-"""Hands a replica's answer to the caller."""
+"""Relays a replica's response to the caller."""
 
 from aspengate.connections import BrokenAnswerError, ReplicaAnswer
 from aspengate.errors import AspengateError, ErrorKind
@@ -9,33 +9,35 @@
 from aspengate.serving import CallerConnection
 from aspengate.telemetry import Counters
 
-_WHOLE_ANSWER_BYTES = 256 * 1024
+_MAX_BUFFERED_BYTES = 256 * 1024
 
 
 class AnswerRelay:
-    """Relays whole answers and streams of events."""
+    """Relays buffered responses and event streams."""
 
     def __init__(self, header_codec: HeaderCodec, counters: Counters) -> None:
         self.header_codec = header_codec
         self.counters = counters
 
-    def whole(self, attempt: Attempt, answer: ReplicaAnswer, caller: CallerConnection) -> None:
-        """Read an answer to its end, then send it, so that a broken one is never begun.
+    def relay_buffered(
+        self, attempt: Attempt, answer: ReplicaAnswer, caller: CallerConnection
+    ) -> None:
+        """Read a response to its end before sending it, so that a broken one is never started.
 
-        One that is very long is passed on as it comes. Raises RetryableAttemptError, or
-        AspengateError.
+        Beyond ``_MAX_BUFFERED_BYTES`` it is passed on as it arrives. Raises RetryableAttemptError,
+        or AspengateError.
         """
         body = b""
         waiter = attempt.exchange.waiter
         try:
             while data := answer.next_data(waiter):
                 body += data
-                if len(body) > _WHOLE_ANSWER_BYTES:
-                    self._begin(answer, caller)
+                if len(body) > _MAX_BUFFERED_BYTES:
+                    self._start(answer, caller)
                     caller.write(body, waiter)
                     body = b""
         except AspengateError as error:
-            raise _broken(attempt, error, resumable=not caller.started) from error
+            raise _broken_error(attempt, error, resumable=not caller.started) from error
         attempt.release(answer)
         if caller.started:
             caller.write(body, waiter)
@@ -44,45 +46,45 @@
         headers = self.header_codec.response_headers(answer.headers)
         caller.answer(answer.status, answer.reason, headers, body)
 
-    def stream(
+    def relay_stream(
         self,
         attempt: Attempt,
         answer: ReplicaAnswer,
         caller: CallerConnection,
         progress: Progress,
     ) -> None:
-        """Pass events on as they come, each one whole; raises as ``whole`` does."""
+        """Pass on complete events as they arrive; raises like ``relay_buffered``."""
         splitter = EventSplitter()
         progress.status = answer.status
         try:
             while data := self._next_data(attempt, answer):
-                attempt.note_sign()
+                attempt.record_activity()
                 for event in splitter.feed(data):
-                    self._pass_on(event, attempt, answer, caller, progress)
+                    self._relay_event(event, attempt, answer, caller, progress)
             if splitter.rest:
                 raise BrokenAnswerError("ends within an event", answer.connection.address)
             if not answer.framed:
                 raise BrokenAnswerError("a stream without framing", answer.connection.address)
         except AspengateError as error:
             resumable = not caller.started or attempt.exchange.known_route.resumable
-            raise _broken(attempt, error, resumable=resumable) from error
+            raise _broken_error(attempt, error, resumable=resumable) from error
         attempt.release(answer)
-        self._begin(answer, caller)
+        self._start(answer, caller)
         caller.finish()
-        progress.whole = True
+        progress.is_complete = True
 
     def _next_data(self, attempt: Attempt, answer: ReplicaAnswer) -> bytes:
-        """Return more of a stream; raises RetryableAttemptError where its replica went silent."""
+        """Return more stream data; raises RetryableAttemptError if the replica is unresponsive."""
         while True:
-            until_ms = attempt.patience.gap_until_ms()
+            until_ms = attempt.timeouts.gap_deadline_ms()
             data = answer.next_data(attempt.exchange.waiter, until_ms)
             if data is not None:
                 return data
-            if attempt.patience.gap_is_over():
-                silent = AspengateError(ErrorKind.UPSTREAM_FAILED, "went silent")
-                raise RetryableAttemptError(silent, sent=True, paid=True)
+            if attempt.timeouts.should_abandon_stream():
+                unresponsive = AspengateError(ErrorKind.UPSTREAM_FAILED, "went silent")
+                raise RetryableAttemptError(unresponsive, sent=True, retry_acquired=True)
 
-    def _pass_on(
+    def _relay_event(
         self,
         event: StreamEvent,
         attempt: Attempt,
@@ -90,32 +92,32 @@
         caller: CallerConnection,
         progress: Progress,
     ) -> None:
-        if _is_repeated(event, progress):
+        if _is_duplicate(event, progress):
             self.counters.count("gateway.events_repeated")
             return
-        self._begin(answer, caller)
+        self._start(answer, caller)
         caller.write(event.data, attempt.exchange.waiter)
         now_ms = attempt.dependencies.clock.monotonic_ms()
-        attempt.note_event(now_ms)
-        progress.note_event(event.identity, now_ms)
+        attempt.record_event(now_ms)
+        progress.record_event(event.identity, now_ms)
 
-    def _begin(self, answer: ReplicaAnswer, caller: CallerConnection) -> None:
-        """Send the head, once; a resumed stream keeps that of its first replica."""
+    def _start(self, answer: ReplicaAnswer, caller: CallerConnection) -> None:
+        """Send the response head once; a resumed stream keeps the head of its first replica."""
         if not caller.started:
             headers = self.header_codec.response_headers(answer.headers)
             caller.start(answer.status, answer.reason, headers)
 
 
-def _broken(attempt: Attempt, error: AspengateError, *, resumable: bool) -> Exception:
-    """Return what to raise after an answer broke off."""
-    lost = error.kind is ErrorKind.UPSTREAM_FAILED
-    if lost and resumable and attempt.exchange.known_route.repeatable:
+def _broken_error(attempt: Attempt, error: AspengateError, *, resumable: bool) -> Exception:
+    """Return the exception to raise for a response that broke off."""
+    is_lost = error.kind is ErrorKind.UPSTREAM_FAILED
+    if is_lost and resumable and attempt.exchange.known_route.repeatable:
         return RetryableAttemptError(error, sent=True)
     return error
 
 
-def _is_repeated(event: StreamEvent, progress: Progress) -> bool:
-    """Return whether the caller has an event already; ids rise where they are numbers."""
+def _is_duplicate(event: StreamEvent, progress: Progress) -> bool:
+    """Return whether the caller already has an event; numeric ids are ascending."""
     if not (event.identity.isdigit() and progress.last_event_id.isdigit()):
         return False
     return int(event.identity) <= int(progress.last_event_id)
--- a/src/aspengate/gateway/_request.py
+++ b/src/aspengate/gateway/_request.py
@@ -1,24 +1,24 @@
-"""A caller's request, as the gateway decides on it."""
+"""The parsed form of a caller's request."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class TokenBounds:
-    """The tokens of a request's prompt, and the most that may come out."""
+    """The number of tokens in a request's prompt, and the maximum of its output."""
 
     prompt: int
     max_output: int
 
     @property
     def max_total(self) -> int:
-        """The most tokens that the request can use."""
+        """The maximum number of tokens that the request can use."""
         return self.prompt + self.max_output
 
 
 @dataclass(frozen=True)
 class PromptSegment:
-    """A part of a prompt that other prompts may share, with its length in tokens."""
+    """A segment of a prompt that other prompts may share, with its length in tokens."""
 
     identity: str
     tokens: int
@@ -26,10 +26,11 @@
 
 @dataclass(frozen=True)
 class CallerRequest:
-    """One request of a caller, whole.
+    """A complete request of a caller.
 
-    ``received_ms`` and ``deadline_ms`` are in the clock's monotonic time; the deadline is the
-    caller's own. ``headers`` are those that a replica is to get unchanged.
+    ``received_ms`` and ``deadline_ms`` are in the clock's monotonic time; the deadline is the one
+    that the caller set. ``headers`` are the ones to forward unchanged to the replica, and ``key``
+    is the caller's API key.
     """
 
     request_id: str
--- a/src/aspengate/gateway/_request_log.py
+++ b/src/aspengate/gateway/_request_log.py
@@ -1,4 +1,4 @@
-"""One line of the log for each request: what was asked, what decided, and what came of it."""
+"""Writes one log line per request: what was requested, the decisions on it, and its outcome."""
 
 from aspengate.clock import Clock
 from aspengate.errors import AspengateError
@@ -8,11 +8,10 @@
 
 
 class RequestLog:
-    """Tells the end of each request, and counts it.
+    """Logs and counts the end of each request.
 
-    A routine success is one line, like any other end, as long as there are fewer than
-    ``max_lines_per_second``; beyond that successes are only counted, and the count is in the next
-    line that is written.
+    Beyond ``max_lines_per_second``, successful requests are only counted; the next line that is
+    written carries that count as ``folded``. Failed requests are always logged.
     """
 
     def __init__(self, clock: Clock, counters: Counters, max_lines_per_second: int = 200) -> None:
@@ -23,7 +22,7 @@
         self._lines = 0
         self._folded = 0
 
-    def ended(
+    def record_end(
         self,
         request_id: str,
         received_ms: float,
@@ -31,7 +30,7 @@
         progress: Progress,
         error: AspengateError | None,
     ) -> None:
-        """Tell the end of a request; ``error`` is what its caller was told, if anything failed."""
+        """Log the end of a request; ``error`` is the error reported to the caller, if any."""
         now = self.clock.monotonic_ms()
         outcome = error.kind.value if error else "answered"
         self.counters.count(f"request.{outcome}")
@@ -39,7 +38,7 @@
         if progress.first_event_ms:
             self.counters.timing("request.first_event", progress.first_event_ms - received_ms)
             self.counters.timing("request.longest_gap", progress.longest_gap_ms)
-        if error is None and self._is_folded(now):
+        if error is None and self._exceeds_line_limit(now):
             return
         log_change(
             "request.ended",
@@ -48,16 +47,16 @@
             reason=str(error) if error else "",
             status=progress.status,
             held_ms=round(now - received_ms),
-            read_ms=round(progress.begun_ms - received_ms),
+            read_ms=round(progress.started_ms - received_ms),
             admitted_ms=round(progress.admitted_ms - received_ms) if progress.admitted_ms else None,
             may_have_run=progress.may_have_run,
-            attempts=[attempt.log_fields() for attempt in progress.made],
-            repeats=[decision.log_fields() for decision in progress.repeats],
-            folded=self._take_folded(),
-            **_circumstances(exchange, progress, received_ms),
+            attempts=[attempt.log_fields() for attempt in progress.all_attempts],
+            repeats=[decision.log_fields() for decision in progress.retry_decisions],
+            folded=self._pop_folded(),
+            **_context_fields(exchange, progress, received_ms),
         )
 
-    def _is_folded(self, now_ms: float) -> bool:
+    def _exceeds_line_limit(self, now_ms: float) -> bool:
         second = int(now_ms // 1_000)
         if second != self._second:
             self._second, self._lines = second, 0
@@ -67,15 +66,15 @@
         self._folded += 1
         return True
 
-    def _take_folded(self) -> int:
+    def _pop_folded(self) -> int:
         folded, self._folded = self._folded, 0
         return folded
 
 
-def _circumstances(
+def _context_fields(
     exchange: Exchange | None, progress: Progress, received_ms: float
 ) -> dict[str, object]:
-    """Return what was known of the request when it was decided on."""
+    """Return the log fields on the request and the configuration that applied to it."""
     if exchange is None:
         return {}
     first = progress.first_event_ms
--- a/src/aspengate/gateway/_selection.py
+++ b/src/aspengate/gateway/_selection.py
@@ -1,4 +1,4 @@
-"""Selects the replica for an attempt, or says why none may get the request now."""
+"""Selects the replica for an attempt, or reports why none is available."""
 
 import random
 from collections.abc import Collection
@@ -21,24 +21,25 @@
 )
 from aspengate.telemetry import Counters
 
-# Callers that are refused while all replicas rest come back over a quarter of that time after its
-# end, and not all at once.
-_REST_SPREAD = 1.25
+# Spreads the retries of callers that are refused while all replicas back off over a quarter of the
+# remaining backoff, so that they do not all return at its end.
+_BACKOFF_JITTER = 1.25
 
 
 class ReplicaSelection:
-    """Chooses the cheapest replica of those that may get one more request.
+    """Selects the cheapest replica among those that may receive one more request.
 
-    ``registry`` knows which may get any, ``bounds`` how many a cold one and one that names a limit
-    may get, ``limited`` chooses where all name limits, ``chooser`` knows what each replica would
-    cost; other routers are told of what was chosen by ``placements``.
+    ``registry`` holds the ready replicas, and ``bounds`` the number of requests that cold and
+    rate-limited replicas may receive. ``rate_limited`` selects if all replicas have rate limits,
+    ``chooser`` estimates the cost of each replica, and ``placements`` reports each selection to the
+    other routers.
     """
 
     def __init__(
         self,
         registry: ReplicaRegistry,
         bounds: ReplicaBounds,
-        limited: RateLimitedSelection,
+        rate_limited: RateLimitedSelection,
         chooser: ReplicaChooser,
         clock: Clock,
         counters: Counters,
@@ -46,66 +47,69 @@
     ) -> None:
         self.registry = registry
         self.bounds = bounds
-        self.limited = limited
+        self.rate_limited = rate_limited
         self.chooser = chooser
         self.clock = clock
         self.counters = counters
         self.placements = placements
 
-    def open(
+    def available(
         self, service: Service, excluded: Collection[str], *, to_spare: bool = False
     ) -> list[ReplicaView]:
-        """Return the replicas of a service that may get one more request now.
+        """Return the replicas of a service that may receive one more request now.
 
-        Permits of other routers are not asked for: a repeat is not planned on them. ``to_spare``
-        leaves out replicas that name limits: what a second send takes there, others do not get.
+        Permits of other routers are not considered: a retry is not decided on them. ``to_spare``
+        excludes replicas with rate limits, where a retry of a request that has not failed would use
+        capacity that other requests need.
         """
         views = self.bounds.open(self.registry.ready(service.name, excluded), service)
         return self.bounds.limiter.unlimited(views) if to_spare else views
 
     def choose(self, exchange: Exchange, excluded: Collection[str]) -> tuple[Candidate, Permit]:
-        """Return the best replica for a request, and the permission to send it there.
+        """Return the best replica for a request, and the permit to send it there.
 
-        Raises NO_UPSTREAM, RESTING, WARMING_UP or AT_LIMIT where none may get it.
+        Raises NO_UPSTREAM, RESTING, WARMING_UP or AT_LIMIT if none may receive it.
         """
         service = exchange.known_service
         ready = self.registry.ready(service.name, excluded)
         if not ready:
-            raise self.no_replica(service.name)
-        prompt = _prompt_shape(exchange)
-        chosen = self._choose_open(ready, prompt, service)
+            raise self.no_replica_error(service.name)
+        prompt = _prompt_shape_of(exchange)
+        chosen = self._choose_available(ready, prompt, service)
         if chosen is None:
             limited = self.bounds.limited(ready, service)
-            chosen = self.limited.choose(limited, prompt, exchange)
+            chosen = self.rate_limited.choose(limited, prompt, exchange)
         if chosen is None:
-            raise self._none_open(ready, exchange)
+            raise self._no_permit_error(ready, exchange)
         candidate, permit = chosen
         now = self.clock.monotonic_ms()
-        for part, _ in prompt.shared:
-            self.chooser.parts.note(part, candidate.view.identity, now)
+        for segment, _ in prompt.shared:
+            self.chooser.parts.note(segment, candidate.view.identity, now)
         if prompt.tokens or service.cold_per_second:
-            self.placements.note(_placed(candidate, prompt))
+            self.placements.note(_placed_request(candidate, prompt))
         return candidate, permit
 
-    def no_replica(self, service: str) -> AspengateError:
-        """Return the refusal of a request that no replica may get now, with the reasons."""
-        standings = self.registry.standings(service)
-        told = [f"{number} {standing.value}" for standing, number in standings.items()]
-        reason = "; ".join(["no replica is ready", *told])
-        if Standing.EVACUATED in standings:
+    def no_replica_error(self, service: str) -> AspengateError:
+        """Return the error for a request that no replica can receive now, with the reasons."""
+        availabilities = self.registry.standings(service)
+        counts = [
+            f"{number} {availability.value}" for availability, number in availabilities.items()
+        ]
+        reason = "; ".join(["no replica is ready", *counts])
+        if Standing.EVACUATED in availabilities:
             self.counters.count("gateway.evacuated")
             reason = f"{reason}: {', '.join(self.registry.evacuated)}"
-        if Standing.RESTING not in standings:
+        if Standing.RESTING not in availabilities:
             return AspengateError(ErrorKind.NO_UPSTREAM, reason, where=service)
         self.counters.count("gateway.resting")
-        rest_s = self.registry.rest_left_ms(service) / 1_000
-        back_s = rest_s * random.uniform(1.0, _REST_SPREAD)
-        return AspengateError(ErrorKind.RESTING, reason, where=service, retry_after_s=back_s)
+        backoff_s = self.registry.rest_left_ms(service) / 1_000
+        retry_after_s = backoff_s * random.uniform(1.0, _BACKOFF_JITTER)
+        return AspengateError(ErrorKind.RESTING, reason, where=service, retry_after_s=retry_after_s)
 
-    def _choose_open(
+    def _choose_available(
         self, ready: list[ReplicaView], prompt: PromptShape, service: Service
     ) -> tuple[Candidate, Permit] | None:
-        """Return the best replica of those that may get one more request now, and its permit."""
+        """Return the best replica that may receive one more request now, and its permit."""
         views = self.bounds.open(ready, service)
         while views:
             now = self.clock.monotonic_ms()
@@ -116,29 +120,31 @@
             views.remove(candidate.view)
         return None
 
-    def _none_open(self, ready: list[ReplicaView], exchange: Exchange) -> AspengateError:
-        """Return the refusal of a request for which there are replicas but no permit."""
+    def _no_permit_error(self, ready: list[ReplicaView], exchange: Exchange) -> AspengateError:
+        """Return the error for a request if replicas are ready but no permit is available."""
         limited = self.bounds.limiter.limited(ready)
         if limited:
-            return self.limited.refusal(limited, len(ready), exchange)
+            return self.rate_limited.refusal(limited, len(ready), exchange)
         self.counters.count("gateway.warming_up")
         reason = "every replica may be cold and has its share"
         where = exchange.known_service.name
         return AspengateError(ErrorKind.WARMING_UP, reason, where=where)
 
 
-def _prompt_shape(exchange: Exchange) -> PromptShape:
-    """Return the request's prompt; its last part belongs to the request or its session."""
+def _prompt_shape_of(exchange: Exchange) -> PromptShape:
+    """Return the shape of the request's prompt; its last segment is not shared with others."""
     request = exchange.request
     gap_aim_ms = exchange.known_route.longest_gap_ms
     if not request.prompt_segments:
-        own = request.tokens.prompt if request.tokens else 0
-        return PromptShape((), own, gap_aim_ms)
-    shared = tuple((part.identity, part.tokens) for part in request.prompt_segments[:-1])
+        own_tokens = request.tokens.prompt if request.tokens else 0
+        return PromptShape((), own_tokens, gap_aim_ms)
+    shared = tuple((segment.identity, segment.tokens) for segment in request.prompt_segments[:-1])
     return PromptShape(shared, request.prompt_segments[-1].tokens, gap_aim_ms)
 
 
-def _placed(candidate: Candidate, prompt: PromptShape) -> PlacedRequest:
-    """Return what other routers are told of a request that is sent to a candidate."""
-    parts = [part for part, _ in prompt.shared]
-    return PlacedRequest(candidate.view.life, int(candidate.tokens), int(candidate.first_ms), parts)
+def _placed_request(candidate: Candidate, prompt: PromptShape) -> PlacedRequest:
+    """Return the record of a request sent to a candidate, for the other routers."""
+    segments = [segment for segment, _ in prompt.shared]
+    return PlacedRequest(
+        candidate.view.life, int(candidate.tokens), int(candidate.first_ms), segments
+    )
--- a/src/aspengate/gateway/filters/__init__.py
+++ b/src/aspengate/gateway/filters/__init__.py
@@ -1,4 +1,4 @@
-"""The steps that admit a request, one module each, in a registry by name."""
+"""The admission filters, one module each, in a registry by name."""
 
 from aspengate.gateway.filters._authenticate import Authenticate
 from aspengate.gateway.filters._find_route import FindRoute
--- a/src/aspengate/gateway/filters/_authenticate.py
+++ b/src/aspengate/gateway/filters/_authenticate.py
@@ -1,4 +1,4 @@
-"""Who calls."""
+"""Authenticates the caller by its API key."""
 
 from dataclasses import replace
 
@@ -9,7 +9,7 @@
 
 @register_filter("authenticate")
 class Authenticate:
-    """Finds the account that holds the request's key, unless the route is public."""
+    """Resolves the account of the request's API key, unless the route is public."""
 
     def __init__(self, dependencies: FilterDependencies) -> None:
         self.dependencies = dependencies
@@ -24,4 +24,4 @@
         return replace(exchange, account=configuration.account_of(exchange.request.key))
 
     def finish(self, exchange: Exchange, outcome: Outcome) -> None:
-        """Nothing to undo."""
+        """Do nothing: there is nothing to undo."""
--- a/src/aspengate/gateway/filters/_find_route.py
+++ b/src/aspengate/gateway/filters/_find_route.py
@@ -1,4 +1,4 @@
-"""Which route a request takes, to which service, and until when."""
+"""Resolves a request's route, service and deadline."""
 
 import random
 from dataclasses import replace
@@ -11,13 +11,16 @@
 
 @register_filter("route")
 class FindRoute:
-    """Finds the route by host and path, and picks one of its services by weight."""
+    """Finds the route by host and path, and picks one of its services at random by weight."""
 
     def __init__(self, dependencies: FilterDependencies) -> None:
         self.dependencies = dependencies
 
     def apply(self, exchange: Exchange) -> Exchange:
-        """Return the exchange with route and service; raises NOT_FOUND."""
+        """Return the exchange with its route and service; raises NOT_FOUND or NO_UPSTREAM.
+
+        A timeout of the route shortens the deadline of the exchange's waiter.
+        """
         request = exchange.request
         route = exchange.configuration.route_of(request.host, request.path)
         name = _pick_service(route)
@@ -31,7 +34,7 @@
         return replace(exchange, route=route, service=service)
 
     def finish(self, exchange: Exchange, outcome: Outcome) -> None:
-        """Nothing to undo."""
+        """Do nothing: there is nothing to undo."""
 
 
 def _pick_service(route: Route) -> str:
--- a/src/aspengate/gateway/filters/_registry.py
+++ b/src/aspengate/gateway/filters/_registry.py
@@ -1,4 +1,4 @@
-"""The registry of filters, and what they are made from."""
+"""The registry of admission filters."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -25,7 +25,7 @@
 
 
 def register_filter(name: str) -> Callable[[_Factory], _Factory]:
-    """Register a filter under the name that the row of filters uses."""
+    """Register a filter under ``name``, by which ``make_filters`` refers to it."""
 
     def register(factory: _Factory) -> _Factory:
         _FACTORIES[name] = factory
@@ -35,5 +35,5 @@
 
 
 def make_filters(names: Iterable[str], dependencies: FilterDependencies) -> tuple[Filter, ...]:
-    """Return the filters with these names, in order."""
+    """Create the filters with these names, in order."""
     return tuple(_FACTORIES[name](dependencies) for name in names)
--- a/src/aspengate/gateway/filters/_reserve.py
+++ b/src/aspengate/gateway/filters/_reserve.py
@@ -1,4 +1,4 @@
-"""Whether the account's prepaid tokens cover the request at its most."""
+"""Reserves prepaid tokens for a request and settles its actual use."""
 
 from aspengate.gateway._exchange import Exchange, Outcome
 from aspengate.gateway.filters._registry import FilterDependencies, register_filter
@@ -6,21 +6,21 @@
 
 @register_filter("reserve")
 class Reserve:
-    """Sets the most that a request can use aside, and settles what it used."""
+    """Reserves the maximum that a request can use, and settles what it used."""
 
     def __init__(self, dependencies: FilterDependencies) -> None:
         self.dependencies = dependencies
 
     def apply(self, exchange: Exchange) -> Exchange:
-        """Return the exchange; raises BUDGET_EXHAUSTED or BUDGET_UNAVAILABLE."""
-        amount = _most(exchange)
+        """Return the exchange unchanged; raises BUDGET_EXHAUSTED or BUDGET_UNAVAILABLE."""
+        amount = _max_tokens(exchange)
         if amount and exchange.account is not None:
             self.dependencies.tokens.reserve(exchange.account, amount, exchange.waiter)
         return exchange
 
     def finish(self, exchange: Exchange, outcome: Outcome) -> None:
-        """Settle the exact use where the answer was whole, the most where that is not known."""
-        amount = _most(exchange)
+        """Settle the exact use if the response was complete, else the maximum."""
+        amount = _max_tokens(exchange)
         if amount and exchange.account is not None:
             self.dependencies.tokens.settle(
                 exchange.account, amount, used_tokens(exchange, outcome)
@@ -28,8 +28,11 @@
 
 
 def used_tokens(exchange: Exchange, outcome: Outcome) -> int:
-    """Return the tokens that a request used at most, 0 where its account is not capped."""
-    amount = _most(exchange)
+    """Return the maximum number of tokens that a request used.
+
+    It is 0 if no replica may have run it, or if its account has no cap.
+    """
+    amount = _max_tokens(exchange)
     if not outcome.may_have_run:
         return 0
     if outcome.output_tokens is None or exchange.request.tokens is None:
@@ -37,8 +40,8 @@
     return min(amount, exchange.request.tokens.prompt + outcome.output_tokens)
 
 
-def _most(exchange: Exchange) -> int:
-    """Return the tokens to set aside; 0 where the account is not capped."""
+def _max_tokens(exchange: Exchange) -> int:
+    """Return the number of tokens to reserve; 0 if the account has no cap."""
     account = exchange.account
     if account is None or account.prepaid_tokens is None or exchange.request.tokens is None:
         return 0
--- a/src/aspengate/retries/__init__.py
+++ b/src/aspengate/retries/__init__.py
@@ -1,4 +1,4 @@
-"""How many repeated attempts the whole fleet allows itself."""
+"""The retry budget that all routers of a fleet share."""
 
 from aspengate.retries._decision import RetryDecision, RetryTally
 from aspengate.retries._shared_budget import RetryPolicy, SharedRetryBudget
--- a/src/aspengate/retries/_decision.py
+++ b/src/aspengate/retries/_decision.py
@@ -1,15 +1,15 @@
-"""What a router knew when it decided on a repeat, and how its decisions add up."""
+"""A decision on a retry with the figures behind it, and tallies of decisions."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class RetryDecision:
-    """Whether one repeat was allowed, and by which figures.
+    """Whether one retry was allowed, with the figures that decided it.
 
-    ``repeats`` of this router still counted against its ``share``; ``requests`` is how many its
-    callers made in the window. ``routers`` is how many share the fleet's budget, 0 where that
-    was not known.
+    ``retries`` is the number of this router's retries that counted against its ``share``,
+    ``requests`` the number of requests its callers made in the window, and ``router_count`` the
+    number of routers that share the fleet's budget, 0 if unknown.
     """
 
     allowed: bool
@@ -19,7 +19,7 @@
     router_count: int
 
     def log_fields(self) -> dict[str, object]:
-        """Return what the log tells of this decision."""
+        """Return the log fields of this decision."""
         return {
             "allowed": self.allowed,
             "repeats": self.retries,
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class RetryTally:
-    """The decisions on one service's repeats since they were asked for last."""
+    """The decisions on one service's retries since the last tally, and the latest of them."""
 
     service: str
     allowed: int
--- a/src/aspengate/retries/_fleet_size.py
+++ b/src/aspengate/retries/_fleet_size.py
@@ -1,11 +1,11 @@
-"""How many routers share a budget, as far as this one was told."""
+"""Tracks the number of routers that share a budget, as last reported to this one."""
 
 from aspengate.clock import Clock
 from aspengate.telemetry import log_change
 
 
 class FleetSize:
-    """Remembers how many routers there were: those that left have used what was theirs."""
+    """Keeps a history of the router count: routers that left may have used their shares."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -13,8 +13,8 @@
         self._last_ms: float | None = None
         self._changes: tuple[tuple[float, int], ...] = ()
 
-    def note(self, routers: int, remembered_ms: float) -> None:
-        """Take over a number; earlier ones are remembered for ``remembered_ms``."""
+    def record(self, routers: int, retention_ms: float) -> None:
+        """Record the current count; earlier counts are kept for ``retention_ms``."""
         now = self._clock.monotonic_ms()
         if self._first_ms is None:
             self._first_ms = now
@@ -23,25 +23,25 @@
             before = self._changes[-1][1] if self._changes else 0
             log_change("retry.routers", routers=routers, before=before)
             self._changes = (*self._changes, (now, routers))
-        while len(self._changes) > 1 and self._changes[1][0] <= now - remembered_ms:
+        while len(self._changes) > 1 and self._changes[1][0] <= now - retention_ms:
             self._changes = self._changes[1:]
 
-    def most(self, within_ms: float) -> int:
-        """Return the greatest number that held within the last ``within_ms``; 0 if none did."""
-        oldest = self._clock.monotonic_ms() - within_ms
-        found = 0
+    def max_within(self, within_ms: float) -> int:
+        """Return the highest count of the last ``within_ms``; 0 if none was recorded."""
+        oldest_ms = self._clock.monotonic_ms() - within_ms
+        highest = 0
         ended_ms = float("inf")
         for began_ms, routers in reversed(self._changes):
-            if ended_ms <= oldest:
+            if ended_ms <= oldest_ms:
                 break
-            found = max(found, routers)
+            highest = max(highest, routers)
             ended_ms = began_ms
-        return found
+        return highest
 
-    def known_ms(self) -> float | None:
-        """Return for how long any number was known, in ms; None if none is."""
+    def known_for_ms(self) -> float | None:
+        """Return the time since the first count was recorded, in ms; None if there is none."""
         return None if self._first_ms is None else self._clock.monotonic_ms() - self._first_ms
 
-    def told_ms(self) -> float | None:
-        """Return how long ago a number was told last, in ms; None if none was."""
+    def age_ms(self) -> float | None:
+        """Return the time since a count was last recorded, in ms; None if there is none."""
         return None if self._last_ms is None else self._clock.monotonic_ms() - self._last_ms
--- a/src/aspengate/retries/_shared_budget.py
+++ b/src/aspengate/retries/_shared_budget.py
@@ -1,4 +1,4 @@
-"""One router's share of the fleet's retry budget, in every sliding window."""
+"""Limits one router to its share of the fleet's retry budget in every sliding window."""
 
 import bisect
 import threading
@@ -9,20 +9,20 @@
 from aspengate.retries._decision import RetryDecision, RetryTally
 from aspengate.retries._fleet_size import FleetSize
 
-# Part of the fleet's slack that is shared out; the rest covers routers that others have not heard
-# of yet, as many as a fifth of those that they know.
-_SLACK_PART = 0.83
-# Part of the ratio that is shared out. Each router looks back from its own last repeat, so that
-# the requests they all go by may lie in two windows; the policy counts those of one.
-_RATIO_PART = 0.5
+# The fraction of the fleet's slack that is distributed. The rest covers routers that the others are
+# not yet aware of, up to a fifth of those that they are aware of.
+_SLACK_FRACTION = 0.83
+# The fraction of the ratio that is distributed. Each router's window ends at its own last retry, so
+# the requests counted by all routers may span two windows; the policy counts those of one.
+_RATIO_FRACTION = 0.5
 
 
 @dataclass(frozen=True)
 class RetryPolicy:
-    """The fleet's bound: in any ``window_ms``, ``ratio`` x the requests + ``slack`` repeats.
+    """The fleet's limit: in any ``window_ms``, at most ``ratio`` x requests + ``slack`` retries.
 
-    ``start_ms`` is within what time all routers have heard of one that starts, and what a dead
-    one sent has arrived.
+    Within ``start_ms`` of a router's start or death, all routers are aware of the new router, and
+    everything that the dead one sent has arrived.
     """
 
     ratio: float
@@ -33,27 +33,27 @@
 
 @dataclass
 class _Window:
-    """One service's requests and repeats; ``arrived`` holds the times of arrivals, in order."""
+    """One service's requests and retries; ``arrived`` holds the retries' arrival times, sorted."""
 
     requests: deque[float] = field(default_factory=deque)
-    under_way: int = 0
+    in_flight: int = 0
     arrived: list[float] = field(default_factory=list)
     allowed: int = 0
     refused: int = 0
     last: RetryDecision | None = None
 
     @property
-    def repeats(self) -> int:
-        """How many repeats count now."""
-        return self.under_way + len(self.arrived)
+    def retries(self) -> int:
+        """The number of retries that count now."""
+        return self.in_flight + len(self.arrived)
 
-    def forget(self, oldest_ms: float) -> None:
-        """Drop what was before ``oldest_ms``."""
+    def expire(self, oldest_ms: float) -> None:
+        """Remove requests and retries from before ``oldest_ms``."""
         while self.requests and self.requests[0] < oldest_ms:
             self.requests.popleft()
         del self.arrived[: bisect.bisect_left(self.arrived, oldest_ms)]
 
-    def note(self, decision: RetryDecision) -> None:
+    def record(self, decision: RetryDecision) -> None:
         """Count a decision for the next tally."""
         self.allowed += decision.allowed
         self.refused += not decision.allowed
@@ -61,10 +61,10 @@
 
 
 class SharedRetryBudget:
-    """Allows repeats by service so that all routers together stay within the policy.
+    """Allows retries per service such that all routers together stay within the policy.
 
-    Each router counts its own requests and takes an equal part of the slack, so that no message
-    is needed but the number of routers. ``docs/design/retries.md`` shows why the sum holds.
+    Each router counts its own requests and uses an equal share of the slack, so that the only
+    information exchanged is the number of routers. ``docs/design/retries.md`` proves the bound.
     """
 
     def __init__(self, policy: RetryPolicy, clock: Clock) -> None:
@@ -76,74 +76,75 @@
 
     @property
     def router_count(self) -> int:
-        """How many routers share the budget now; 0 where that is not known."""
-        return self.fleet.most(self.policy.window_ms)
+        """The number of routers that share the budget now; 0 if unknown."""
+        return self.fleet.max_within(self.policy.window_ms)
 
     def set_router_count(self, routers: int) -> None:
-        """Take over how many routers may be alive, this one among them."""
+        """Set the number of routers that may be alive, including this one."""
         with self._lock:
-            self.fleet.note(routers, self.policy.window_ms)
+            self.fleet.record(routers, self.policy.window_ms)
 
     def router_count_age_ms(self) -> float | None:
-        """Return how long ago the number of routers was told, in ms; None if it never was."""
-        return self.fleet.told_ms()
+        """Return the time since the router count was last set, in ms; None if it never was."""
+        return self.fleet.age_ms()
 
     def record_request(self, service: str) -> None:
         """Count a caller's request for a service."""
         with self._lock:
-            window = self._current(service)
+            window = self._current_window(service)
             window.requests.append(self._clock.monotonic_ms())
 
     def acquire(self, service: str) -> RetryDecision:
-        """Decide on one more repeat; one that is allowed counts at least until it is settled."""
+        """Decide on one more retry; an allowed one counts at least until it is settled."""
         with self._lock:
-            window = self._current(service)
+            window = self._current_window(service)
             share = self._share(len(window.requests))
-            allowed = window.repeats + 1 <= share
+            allowed = window.retries + 1 <= share
             decision = RetryDecision(
-                allowed, window.repeats, share, len(window.requests), self.router_count
+                allowed, window.retries, share, len(window.requests), self.router_count
             )
-            window.under_way += allowed
-            window.note(decision)
+            window.in_flight += allowed
+            window.record(decision)
             return decision
 
     def settle(self, service: str, *, allowed: int, arrived: int, arrived_ms: float) -> None:
-        """Tell that a request has ended to which ``allowed`` repeats had been allowed.
+        """Record the end of a request for which ``allowed`` retries had been allowed.
 
-        At most ``arrived`` of them have reached a replica, the last one at ``arrived_ms`` or
-        before, in monotonic time.
+        At most ``arrived`` of them have reached a replica, the last one no later than
+        ``arrived_ms`` in monotonic time.
         """
         with self._lock:
-            window = self._current(service)
-            window.under_way -= allowed
-            # A repeat counts for a window after it arrived, not after it was allowed: one that
-            # was held up would meet those of the next window at the replica.
+            window = self._current_window(service)
+            window.in_flight -= allowed
+            # A retry counts for one window after its arrival, not after it was allowed: otherwise a
+            # delayed one would reach the replica together with those of the next window.
             for _ in range(min(allowed, arrived)):
                 bisect.insort(window.arrived, arrived_ms)
 
     def drain_tallies(self) -> list[RetryTally]:
-        """Return the decisions by service since the last call, of services that had any."""
+        """Return and reset the decisions per service, for services that had any."""
         with self._lock:
-            found = []
+            tallies = []
             for service, window in self._windows.items():
                 if window.last is not None:
-                    found.append(RetryTally(service, window.allowed, window.refused, window.last))
+                    tallies.append(RetryTally(service, window.allowed, window.refused, window.last))
                     window.allowed, window.refused, window.last = 0, 0, None
-            return found
+            return tallies
 
     def _share(self, requests: int) -> float:
-        """Return how many repeats this router may have in its window.
+        """Return the maximum number of retries of this router in its window.
 
-        None before it has known the fleet for a window: until then an earlier run of it may have
-        used its share, and others may go by a number without it.
+        It is 0 until the router count has been known for a window and ``start_ms``: until then, an
+        earlier process of this router may have used its share, and other routers may use a count
+        that does not include this one.
         """
-        known_ms = self.fleet.known_ms()
-        if known_ms is None or known_ms < self.policy.window_ms + self.policy.start_ms:
+        known_for_ms = self.fleet.known_for_ms()
+        if known_for_ms is None or known_for_ms < self.policy.window_ms + self.policy.start_ms:
             return 0.0
-        slack = _SLACK_PART * self.policy.slack / self.router_count
-        return _RATIO_PART * self.policy.ratio * requests + slack
+        slack = _SLACK_FRACTION * self.policy.slack / self.router_count
+        return _RATIO_FRACTION * self.policy.ratio * requests + slack
 
-    def _current(self, service: str) -> _Window:
+    def _current_window(self, service: str) -> _Window:
         window = self._windows[service]
-        window.forget(self._clock.monotonic_ms() - self.policy.window_ms)
+        window.expire(self._clock.monotonic_ms() - self.policy.window_ms)
         return window
