--- a/src/aspengate/gateway/_dispatcher.py
+++ b/src/aspengate/gateway/_dispatcher.py
@@ -171,7 +171,9 @@
             self.relay.relay_stream(attempt, answer, caller, progress)
             return
         if caller.started:
-            raise AspengateError(ErrorKind.UPSTREAM_FAILED, f"replica responded {answer.status} to a resumed stream")
+            raise AspengateError(
+                ErrorKind.UPSTREAM_FAILED, f"replica responded {answer.status} to a resumed stream"
+            )
         failed = answer.status in _SERVER_ERROR and exchange.known_route.repeatable
         if failed and self._acquire_retry(exchange, progress, attempts=progress.sent_attempts):
             cause = AspengateError(ErrorKind.UPSTREAM_FAILED, f"answered {answer.status}")
