--- a/src/aspengate/gateway/_daemon.py
+++ b/src/aspengate/gateway/_daemon.py
@@ -225,7 +225,7 @@
         self._sleep_until(plan.refuse_ms)
         self.refusing = True
         log_change("gateway.refusing", name=self.settings.name)
-        while not self.server.is_idle and self.clock.monotonic_ms() < plan.last_ms:
+        while not self.server.is_idle and self.clock.monotonic_ms() < plan.deadline_ms:
             self.clock.sleep_ms(_DRAIN_POLL_MS)
         finished = self.server.is_idle
         self.close()
@@ -394,7 +394,7 @@
             ),
             clock=self.clock,
             log=self.log,
-            refusing=lambda: self.refusing,
+            is_refusing=lambda: self.refusing,
         )
 
     def _make_permit_client(self) -> PermitClient:
