--- a/features/steps/leadership_steps.py
+++ b/features/steps/leadership_steps.py
@@ -29,12 +29,12 @@
 
     @property
     def connected(self):
-        return self.proven or self.leadership.stance is MirrorMode.TOLD
+        return self.proven or self.leadership.mode is MirrorMode.TOLD
 
     def look(self):
-        before = self.leadership.stance
-        self.leadership.look(connected=self.proven)
-        if self.leadership.stance is not MirrorMode.FOLLOWING:
+        before = self.leadership.mode
+        self.leadership.update(connected=self.proven)
+        if self.leadership.mode is not MirrorMode.FOLLOWING:
             self.proven = False
         elif before is not MirrorMode.FOLLOWING or not self.proven:
             self.asked += 1
@@ -74,7 +74,7 @@
     def tell(self, router):
         for other in self.routers:
             if other.running and other is not router:
-                other.members.heard(
+                other.members.record_status(
                     router.members.own,
                     reaches_store=router.connected,
                     leads=router.members.leads,
@@ -119,7 +119,7 @@
     fleet = context.routers
     for domain in fleet.domains:
         assert len(fleet.leaders(domain)) == 1, (domain, fleet.leaders(domain))
-    resting = [each for each in fleet.routers if each.leadership.stance is MirrorMode.TOLD]
+    resting = [each for each in fleet.routers if each.leadership.mode is MirrorMode.TOLD]
     assert len(resting) == len(fleet.routers) - len(fleet.domains)
 
 
--- a/features/steps/mirror_changes_steps.py
+++ b/features/steps/mirror_changes_steps.py
@@ -109,7 +109,7 @@
 def asks(context):
     client = DirectClient(PeerApplication({PREFIX: context.first}, None))
     context.since = context.second.state.revision
-    context.found = client.mirror("10.0.0.1:1", PREFIX, context.since)
+    context.found = client.fetch_mirror("10.0.0.1:1", PREFIX, context.since)
     context.answer_bytes = client.answer_bytes
 
 
@@ -139,7 +139,7 @@
 
 
 def take(made, message):
-    return made.apply_changes(message.known_before, message.changes())
+    return made.apply_changes(message.base_revision, message.changes())
 
 
 @then("every message fits into a datagram, and the second one knows the same list")
--- a/features/steps/placements_steps.py
+++ b/features/steps/placements_steps.py
@@ -53,13 +53,13 @@
             for other in self.nodes:
                 if other is not each:
                     leads = other.members.leads
-                    each.members.heard(other.members.own, reaches_store=True, leads=leads)
-            each.leadership.look(connected=each.members.leads)
+                    each.members.record_status(other.members.own, reaches_store=True, leads=leads)
+            each.leadership.update(connected=each.members.leads)
 
     def send(self, message, *addresses):
         self.largest = max(self.largest, len(msgspec.msgpack.encode(message)))
         for address in addresses:
-            self.by_address[address].exchange.take(message)
+            self.by_address[address].exchange.handle_placements(message)
 
     def flush(self):
         for _ in range(3):
@@ -78,7 +78,7 @@
 def two_each(context):
     for number, node in enumerate(context.network.nodes):
         for order in range(2):
-            node.exchange.note(PlacedRequest(f"i-{number}-{order}", 100, 50, ["part"]))
+            node.exchange.record_sent(PlacedRequest(f"i-{number}-{order}", 100, 50, ["part"]))
     context.network.flush()
 
 
@@ -94,7 +94,7 @@
 @when("one router sends {count:d} requests at once")
 def many_at_once(context, count):
     for order in range(count):
-        context.network.nodes[-1].exchange.note(PlacedRequest(f"i-{order}", 100, 50))
+        context.network.nodes[-1].exchange.record_sent(PlacedRequest(f"i-{order}", 100, 50))
     context.network.flush()
 
 
@@ -110,7 +110,7 @@
         for order in range(count):
             parts = ["0123abcd", "4567cdef"]
             placed = PlacedRequest(f"i-{number:04}{order:06}", 17_000, 1_200, parts)
-            node.exchange.note(placed)
+            node.exchange.record_sent(placed)
     for node in reversed(context.network.nodes):
         node.exchange.flush()
 
--- a/src/aspengate/gateway/_daemon.py
+++ b/src/aspengate/gateway/_daemon.py
@@ -107,7 +107,7 @@
             deployment.store,
             clock,
             counters,
-            broadcast=lambda notice: self.peering.crashes.tell(notice),
+            broadcast=lambda notice: self.peering.crashes.announce(notice),
             on_ended=lambda run: self.pool.forget(replica_of_run(run)),
             reaches_store=lambda: self.peering.reaches_store,
             is_first=lambda content: self.peering.members.is_first(content),
@@ -319,7 +319,7 @@
         self.loans.on_lenders_done = self.tokens.handle_lenders_done
         self.loans.reaches_store = self._can_draw
         self.peering.on_reply = self._on_reply
-        self.tokens.restorer.others_restored = self.peering.members.have_restored
+        self.tokens.restorer.others_restored = self.peering.members.all_restored
         self.tokens.on_restored = self.peering.announce_now
         self.peering.restored_era = lambda: self.tokens.restored_era
         self.tokens.writer.announce_grant = self.peering.send_grant
@@ -409,7 +409,7 @@
     def _contact(self) -> Contact:
         if self.peering.reaches_store:
             return Contact.CURRENT
-        return Contact.PEERS if self.peering.members.hears_leader else Contact.NONE
+        return Contact.PEERS if self.peering.members.has_live_leader else Contact.NONE
 
     def _on_replica_gone(self, view: ReplicaView) -> None:
         self.pool.forget(view.incarnation)
@@ -418,7 +418,7 @@
 
     def _tell_limit(self, life: str, limit: ReportedLimit) -> None:
         word = LimitWord(life, limit.number, limit.per_second)
-        self.peering.limits.tell(LimitNotice([word]))
+        self.peering.limits.announce(LimitNotice([word]))
 
     def _on_members(self, count: int) -> None:
         if self.peering.members.count_known:
--- a/src/aspengate/gateway/_mirror_sharing.py
+++ b/src/aspengate/gateway/_mirror_sharing.py
@@ -111,7 +111,7 @@
         if mirror is None:
             return
         told = changes.changes()
-        if mirror.apply_changes(changes.known_before, told):
+        if mirror.apply_changes(changes.base_revision, told):
             self._counters.count("mirror.pushed")
         else:
             self.request_fetch(changes.prefix, told.revision, address)
@@ -147,7 +147,7 @@
         if not all(mirror.state.revision for mirror in self.mirrors.values()):
             return 0.0
         leader = self._leadership.leader
-        if self._leadership.stance is MirrorMode.TOLD and leader is not None:
+        if self._leadership.mode is MirrorMode.TOLD and leader is not None:
             told = {address for address, _ in list(self._behind.values())}
             return 0.0 if leader.address in told else _CUT_GRACE_MS
         if not self.reaches_store:
@@ -163,7 +163,7 @@
         for address in self._sources(told):
             since = mirror.state.revision
             try:
-                found = self._client.mirror(address, prefix, since)
+                found = self._client.fetch_mirror(address, prefix, since)
             except AspengateError:
                 self._counters.count("peers.fetch_failed")
                 continue
@@ -185,7 +185,7 @@
         Bytes between failure domains have a price. The others are drawn at random, so that
         routers which start together don't all ask the same ones.
         """
-        leader = self._leadership.leader if self._leadership.stance is MirrorMode.TOLD else None
+        leader = self._leadership.leader if self._leadership.mode is MirrorMode.TOLD else None
         first = [leader.address] if leader is not None else []
         first += [told] if told and told not in first else []
         others = [each for each in self._addresses() if each not in first]
--- a/src/aspengate/gateway/_peer_services.py
+++ b/src/aspengate/gateway/_peer_services.py
@@ -56,11 +56,13 @@
         self._clock = clock
         self._tokens = tokens
 
-    def take_loan_request(self, request: LoanRequest, answer: Callable[[LoanReply], None]) -> None:
+    def handle_loan_request(
+        self, request: LoanRequest, answer: Callable[[LoanReply], None]
+    ) -> None:
         """Lend another router tokens; ``answer`` is called once it is decided how many."""
         self._tokens().handle_loan_request(request, answer)
 
-    def take_repayment(self, payment: Repayment) -> bool:
+    def handle_repayment(self, payment: Repayment) -> bool:
         """Take tokens back from another router; return whether they count now."""
         return self._tokens().handle_repayment(payment)
 
@@ -73,11 +75,11 @@
         """Accept no more of a session; return its ceilings by account, None if not known."""
         return self._tokens().close_witnessed(session)
 
-    def take_grants(self, notice: GrantNotice) -> None:
+    def handle_grants(self, notice: GrantNotice) -> None:
         """Remember what the store granted another router's session."""
         self._tokens().handle_grants(notice.grants)
 
-    def take_placed(self, placed: PlacedRequest) -> None:
+    def handle_placed_request(self, placed: PlacedRequest) -> None:
         """Note a request that another router has sent to a replica."""
         now = self._clock.monotonic_ms()
         view = self._registry.view_of_incarnation(placed.replica)
@@ -88,7 +90,7 @@
         for part in placed.parts:
             self._parts.record_sent(part, view.identity, now)
 
-    def take_crashes(self, notice: CrashNotice) -> None:
+    def handle_crash_notice(self, notice: CrashNotice) -> None:
         """Note under which requests another router saw replicas end."""
         self._crashes.handle_notice(notice)
 
@@ -96,7 +98,7 @@
         """Return what a router that has just started is to know of such requests, if anything."""
         return self._crashes.recent_crashes()
 
-    def take_limits(self, notice: LimitNotice, told_by: str) -> None:
+    def handle_limit_notice(self, notice: LimitNotice, told_by: str) -> None:
         """Note what another router knows of the limits that replicas name."""
         for word in notice.words:
             self._registry.record_peer_limit(word.replica, word.number, word.per_second, told_by)
@@ -107,7 +109,9 @@
         words = [LimitWord(life, each.number, each.per_second) for life, each in limits.items()]
         return LimitNotice(words) if words else None
 
-    def take_permit_request(self, request: PermitRequest) -> tuple[PermitReply, LimitNotice | None]:
+    def handle_permit_request(
+        self, request: PermitRequest
+    ) -> tuple[PermitReply, LimitNotice | None]:
         """Grant another router a permit, if there is one; return what it has to know besides."""
         views = []
         newer = []
@@ -137,6 +141,6 @@
             ready.append(ReadyPermit(view.incarnation, -1 if in_ms is None else math.ceil(in_ms)))
         return PermitReply(request.number, request.session, ready=ready)
 
-    def take_permit_use(self, use: PermitUse) -> None:
+    def handle_permit_use(self, use: PermitUse) -> None:
         """Note what became of a permit that another router was granted."""
         self._bounds.limiter.permits.settle_grant((use.session, use.number), sent=use.sent)
--- a/src/aspengate/gateway/_peering.py
+++ b/src/aspengate/gateway/_peering.py
@@ -139,7 +139,11 @@
         self._client = PeerClient(_FETCH_TIMEOUT_MS)
         self._datagrams = DatagramPort(self.server.address, counters, self._on_datagram)
         self.placements = PlacementExchange(
-            self.members, self.leadership, counters, self._datagrams.send, services.take_placed
+            self.members,
+            self.leadership,
+            counters,
+            self._datagrams.send,
+            services.handle_placed_request,
         )
         tell = (clock, counters, self._datagrams.send, self._addresses)
         self.crashes = NoticeExchange("crash-notices", merge_crashes, *tell)
@@ -208,12 +212,12 @@
 
     def send_grant(self, grant: Grant) -> None:
         """Have some others remember what the store has granted this router."""
-        keepers = [member.address for member in self.members.keepers(grant.account)]
+        keepers = [member.address for member in self.members.backup_peers(grant.account)]
         self._datagrams.send(GrantNotice([grant]), *keepers)
 
     def close_witnessed(self, witness: str, session: str) -> Mapping[str, int] | None:
         """Have the router that runs ``witness`` close a session; None where it can't tell."""
-        member = self.members.runs(witness)
+        member = self.members.find_session(witness)
         if member is None:
             return None
         if member is self.members.own:
@@ -231,7 +235,7 @@
 
     def stance(self) -> MirrorMode:
         """Return where this router learns of changes in the store from."""
-        return self.leadership.stance
+        return self.leadership.mode
 
     def _send(self) -> None:
         while True:
@@ -270,14 +274,16 @@
         """Return whether the store answers this router or one that leads."""
         if all(mirror.last_watch_succeeded for mirror in self.mirrors.values()):
             return True
-        return any(sign.leads and sign.reaches_store for sign in self.members.signs(_LEADER_MS))
+        return any(
+            sign.leads and sign.reaches_store for sign in self.members.recent_statuses(_LEADER_MS)
+        )
 
     def _look(self) -> None:
         """See whether to rest, and have the mirrors act on it at once."""
-        before = self.leadership.stance
+        before = self.leadership.mode
         proven = all(mirror.last_watch_succeeded for mirror in self.mirrors.values())
-        self.leadership.look(connected=proven)
-        if self.leadership.stance is not before:
+        self.leadership.update(connected=proven)
+        if self.leadership.mode is not before:
             for mirror in self.mirrors.values():
                 mirror.recheck_mode()
 
@@ -286,7 +292,11 @@
         if self.members.leads:
             receivers = known
         else:
-            leaders = {sign.member.address for sign in self.members.signs(_LEADER_MS) if sign.leads}
+            leaders = {
+                sign.member.address
+                for sign in self.members.recent_statuses(_LEADER_MS)
+                if sign.leads
+            }
             others = [each for each in known if each not in leaders]
             chosen = random.sample(others, min(_NEWS_RECEIVERS, len(others)))
             receivers = [*leaders, *chosen]
@@ -301,7 +311,7 @@
             self.members.own,
             {prefix: number_of(revision) for prefix, revision in newest.items()},
             self.reaches_store,
-            self.members.listed_here,
+            self.members.own_count,
             self.members.leads,
             self.registry.replaced()[:_MOST_REPLACED],
             self.restored_era(),
@@ -336,15 +346,15 @@
         services = self.services
         return {
             PeerNews: lambda news, _: self._on_news(news),
-            Placements: lambda placements, _: self.placements.take(placements),
+            Placements: lambda placements, _: self.placements.handle_placements(placements),
             MirrorChanges: self.sharing.handle_changes,
-            CrashNotice: lambda notice, _: services.take_crashes(notice),
-            LimitNotice: services.take_limits,
+            CrashNotice: lambda notice, _: services.handle_crash_notice(notice),
+            LimitNotice: services.handle_limit_notice,
             PermitRequest: self._take_permit_request,
             PermitReply: lambda reply, address: self.on_permit(reply, address),
-            PermitUse: lambda use, _: services.take_permit_use(use),
+            PermitUse: lambda use, _: services.handle_permit_use(use),
             CeilingNotice: self._witness,
-            GrantNotice: lambda notice, _: services.take_grants(notice),
+            GrantNotice: lambda notice, _: services.handle_grants(notice),
             LoanRequest: self._take_loan_request,
             Repayment: self._take_repayment,
         }
@@ -357,7 +367,9 @@
             self.on_reply(datagram)
 
     def _take_loan_request(self, request: LoanRequest, address: str) -> None:
-        self.services.take_loan_request(request, lambda reply: self._datagrams.send(reply, address))
+        self.services.handle_loan_request(
+            request, lambda reply: self._datagrams.send(reply, address)
+        )
 
     def _witness(self, notice: CeilingNotice, address: str) -> None:
         accepted = notice.witness == self.session and self.services.accept_ceilings(notice)
@@ -365,23 +377,23 @@
         self._datagrams.send(reply, address)
 
     def _take_repayment(self, payment: Repayment, address: str) -> None:
-        if payment.lender == self.session and self.services.take_repayment(payment):
+        if payment.lender == self.session and self.services.handle_repayment(payment):
             self._datagrams.send(RepaymentReply(payment.number, payment.session), address)
 
     def _take_permit_request(self, request: PermitRequest, address: str) -> None:
-        reply, newer = self.services.take_permit_request(request)
+        reply, newer = self.services.handle_permit_request(request)
         if newer is not None:
             self._datagrams.send(newer, address)
         self._datagrams.send(reply, address)
 
     def _on_news(self, news: PeerNews) -> None:
-        was_away = not self.members.is_heard(news.member.name)
-        is_new = self.members.heard(
+        was_away = not self.members.is_router_alive(news.member.name)
+        is_new = self.members.record_status(
             news.member,
             reaches_store=news.reaches_store,
             leads=news.leads,
             listed=news.listed,
-            prefixes=news.newest,
+            prefixes=news.newest_revisions,
             restored=news.restored,
         )
         if is_new:
@@ -401,7 +413,7 @@
         era = max(news.eras, default=0)
         if era:
             self._store.era.record(era)
-        for prefix, revision in news.newest.items():
+        for prefix, revision in news.newest_revisions.items():
             self.sharing.request_fetch(prefix, revision, news.member.address)
         for life in news.replaced:
             self.registry.record_replaced(life, news.member.name)
--- a/src/aspengate/gateway/_selection.py
+++ b/src/aspengate/gateway/_selection.py
@@ -84,7 +84,7 @@
         for part, _ in prompt.shared:
             self.chooser.segments.record_sent(part, candidate.view.identity, now)
         if prompt.tokens or service.cold_per_second:
-            self.placements.note(_placed(candidate, prompt))
+            self.placements.record_sent(_placed(candidate, prompt))
         return candidate, permit
 
     def no_replica(self, service: str) -> AspengateError:
--- a/src/aspengate/peers/_exchange.py
+++ b/src/aspengate/peers/_exchange.py
@@ -79,10 +79,12 @@
 class PeerServices(Protocol):
     """What a router does for its peers."""
 
-    def take_loan_request(self, request: LoanRequest, answer: Callable[[LoanReply], None]) -> None:
+    def handle_loan_request(
+        self, request: LoanRequest, answer: Callable[[LoanReply], None]
+    ) -> None:
         """Lend tokens; ``answer`` is called once it is decided how many."""
 
-    def take_repayment(self, payment: Repayment) -> bool:
+    def handle_repayment(self, payment: Repayment) -> bool:
         """Take tokens back; return whether they count now."""
 
     def accept_ceilings(self, notice: CeilingNotice) -> bool:
@@ -91,28 +93,30 @@
     def close_witnessed(self, session: str) -> dict[str, int] | None:
         """Accept no more of a session; return its ceilings by account, None if not known."""
 
-    def take_grants(self, notice: GrantNotice) -> None:
+    def handle_grants(self, notice: GrantNotice) -> None:
         """Remember what the store granted another router's session."""
 
-    def take_placed(self, placed: PlacedRequest) -> None:
+    def handle_placed_request(self, placed: PlacedRequest) -> None:
         """Note a request that another router has sent to a replica."""
 
-    def take_crashes(self, notice: CrashNotice) -> None:
+    def handle_crash_notice(self, notice: CrashNotice) -> None:
         """Note under which requests another router saw replicas end."""
 
     def known_crashes(self) -> CrashNotice | None:
         """Return what a router that has just started is to know of such requests, if anything."""
 
-    def take_limits(self, notice: LimitNotice, told_by: str) -> None:
+    def handle_limit_notice(self, notice: LimitNotice, told_by: str) -> None:
         """Note what another router knows of the limits that replicas name."""
 
     def known_limits(self) -> LimitNotice | None:
         """Return what a router that has just started is to know of limits, if anything."""
 
-    def take_permit_request(self, request: PermitRequest) -> tuple[PermitReply, LimitNotice | None]:
+    def handle_permit_request(
+        self, request: PermitRequest
+    ) -> tuple[PermitReply, LimitNotice | None]:
         """Grant another router a permit, if there is one; return what it has to know besides."""
 
-    def take_permit_use(self, use: PermitUse) -> None:
+    def handle_permit_use(self, use: PermitUse) -> None:
         """Note what became of a permit that another router was granted."""
 
 
@@ -217,7 +221,7 @@
     def __init__(self, timeout_ms: float) -> None:
         self.timeout_ms = timeout_ms
 
-    def mirror(self, address: str, prefix: str, since: int = 0) -> Snapshot | Changes:
+    def fetch_mirror(self, address: str, prefix: str, since: int = 0) -> Snapshot | Changes:
         """Return what a peer's mirror knows beyond the revision ``since``, or its whole state.
 
         Raises STORE_UNAVAILABLE. A list of 3,000 replicas has 750 KB, a change of one 250 bytes.
--- a/src/aspengate/peers/_leadership.py
+++ b/src/aspengate/peers/_leadership.py
@@ -6,7 +6,7 @@
 import xxhash
 
 from aspengate.clock import Clock
-from aspengate.peers._members import Member, MemberList, SignOfLife
+from aspengate.peers._members import Member, MemberList, PeerStatus
 from aspengate.store import MirrorMode
 from aspengate.telemetry import log_change
 
@@ -49,7 +49,7 @@
     """
 
     def __init__(self, members: MemberList, clock: Clock, prefixes: Collection[str] = ()) -> None:
-        self.stance = MirrorMode.WAITING
+        self.mode = MirrorMode.WAITING
         self.leader: Member | None = None
         self._members = members
         self._clock = clock
@@ -59,7 +59,7 @@
         self._started = False
         self._lock = threading.Lock()
 
-    def look(self, *, connected: bool) -> None:
+    def update(self, *, connected: bool) -> None:
         """Decide anew; ``connected`` tells whether the store answers this router's own watches.
 
         Call it once the list of routers was read or could not be, and often after that.
@@ -77,12 +77,12 @@
         if self._alone_ms is None:
             self._alone_ms = now
         waited_ms = now - self._alone_ms
-        if self.stance is not MirrorMode.FOLLOWING:
-            self.stance = MirrorMode.WAITING
+        if self.mode is not MirrorMode.FOLLOWING:
+            self.mode = MirrorMode.WAITING
             if waited_ms >= self._delay_ms():
-                self.stance = MirrorMode.FOLLOWING
+                self.mode = MirrorMode.FOLLOWING
                 log_change("store.followed_alone", waited_ms=round(waited_ms))
-        if not connected or self.stance is not MirrorMode.FOLLOWING:
+        if not connected or self.mode is not MirrorMode.FOLLOWING:
             self._connected_ms = None
             return
         if self._connected_ms is None:
@@ -95,7 +95,7 @@
     def _claim_delay_ms(self) -> float:
         """Return how long to leave the lead to one that has lost the store, in milliseconds."""
         domain = self._members.own.failure_domain
-        leading = [sign for sign in self._members.signs(_SILENT_MS) if sign.leads]
+        leading = [sign for sign in self._members.recent_statuses(_SILENT_MS) if sign.leads]
         has_lost = any(
             not sign.reaches_store for sign in leading if sign.member.failure_domain == domain
         )
@@ -106,7 +106,7 @@
     def _rest(self, leader: Member) -> None:
         self._started = True
         self._alone_ms = None
-        self.stance = MirrorMode.TOLD
+        self.mode = MirrorMode.TOLD
         self._members.leads = False
         if self.leader != leader:
             self.leader = leader
@@ -115,7 +115,9 @@
     def _other_leader(self, connected: bool) -> Member | None:
         """Return the leader to rely on, None where this router is to follow the store itself."""
         leaders = [
-            sign for sign in self._members.signs(_SILENT_MS) if sign.leads and sign.reaches_store
+            sign
+            for sign in self._members.recent_statuses(_SILENT_MS)
+            if sign.leads and sign.reaches_store
         ]
         if len(leaders) < _LEAST_LEADERS:
             return None
@@ -129,7 +131,7 @@
         ]
         if self._members.leads and connected:
             found = [each for each in found if _rank(each.member) > _rank(own)]
-        best: SignOfLife | None = max(found, key=lambda each: _rank(each.member), default=None)
+        best: PeerStatus | None = max(found, key=lambda each: _rank(each.member), default=None)
         return best.member if best else None
 
     def _delay_ms(self) -> float:
--- a/src/aspengate/peers/_members.py
+++ b/src/aspengate/peers/_members.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True)
-class SignOfLife:
+class PeerStatus:
     """What a router told of itself last, at ``at_ms`` in monotonic milliseconds.
 
     ``leads`` tells whether it follows the store for its failure domain, ``listed`` how many
@@ -53,7 +53,7 @@
     """
 
     member: Member
-    at_ms: float
+    received_ms: float
     reaches_store: bool = False
     leads: bool = False
     listed: int = 0
@@ -74,7 +74,7 @@
         self.leads = False
         self._clock = clock
         self._members: dict[str, Member] = {}
-        self._signs: dict[str, SignOfLife] = {}
+        self._signs: dict[str, PeerStatus] = {}
         self._lock = threading.Lock()
 
     @property
@@ -90,7 +90,7 @@
             return bool(self.listed or self._told())
 
     @property
-    def listed_here(self) -> int:
+    def own_count(self) -> int:
         """How many routers this one knows of itself; 0 where it has not read the store's list."""
         with self._lock:
             return self._known_here() if self.listed else 0
@@ -114,7 +114,7 @@
             self._members = members
             self.listed = 1 + len(members)
 
-    def heard(
+    def record_status(
         self,
         member: Member,
         *,
@@ -141,7 +141,7 @@
                     session=member.session,
                     build=member.build,
                 )
-            self._signs[member.name] = SignOfLife(
+            self._signs[member.name] = PeerStatus(
                 member, now, reaches_store, leads, listed, frozenset(prefixes), restored
             )
             self._members[member.name] = member
@@ -149,29 +149,29 @@
 
     def alive(self) -> list[Member]:
         """Return the other routers that were heard of lately."""
-        return [sign.member for sign in self.signs(_ALIVE_MS)]
+        return [sign.member for sign in self.recent_statuses(_ALIVE_MS)]
 
     def builds(self) -> Counter[str]:
         """Return how many routers, of this one and those heard lately, run each build."""
         members = [self.own, *self.alive()]
         return Counter(each.build or _NO_BUILD for each in members)
 
-    def is_heard(self, name: str) -> bool:
+    def is_router_alive(self, name: str) -> bool:
         """Return whether another router was heard of lately."""
         with self._lock:
             sign = self._signs.get(name)
-        return sign is not None and self._clock.monotonic_ms() - sign.at_ms <= _ALIVE_MS
+        return sign is not None and self._clock.monotonic_ms() - sign.received_ms <= _ALIVE_MS
 
-    def signs(self, within_ms: float) -> list[SignOfLife]:
+    def recent_statuses(self, within_ms: float) -> list[PeerStatus]:
         """Return the last signs of the other routers that are not older than ``within_ms``."""
         with self._lock:
             return list(self._recent(within_ms).values())
 
     @property
-    def hears_leader(self) -> bool:
+    def has_live_leader(self) -> bool:
         """Whether this router leads, or has just heard one that leads its failure domain."""
         domain = self.own.failure_domain
-        signs = self.signs(_LEADER_ALIVE_MS)
+        signs = self.recent_statuses(_LEADER_ALIVE_MS)
         return self.leads or any(
             sign.leads and sign.member.failure_domain == domain for sign in signs
         )
@@ -195,7 +195,7 @@
 
     def lenders(self, most: int) -> list[Member]:
         """Return up to ``most`` live routers in random order, those that reach the store first."""
-        found = self.signs(_ALIVE_MS)
+        found = self.recent_statuses(_ALIVE_MS)
         random.shuffle(found)
         found.sort(key=lambda sign: not sign.reaches_store)
         return [sign.member for sign in found[:most]]
@@ -214,11 +214,11 @@
         now = self._clock.monotonic_ms()
         signs = [
             sign
-            for sign in self.signs(_ALIVE_MS)
+            for sign in self.recent_statuses(_ALIVE_MS)
             if sign.member.session not in suspects
-            if not sign.leads or now - sign.at_ms <= _LEADER_ALIVE_MS
+            if not sign.leads or now - sign.received_ms <= _LEADER_ALIVE_MS
         ]
-        signs.append(SignOfLife(self.own, now, reaches_store=bool(own_reaches), leads=self.leads))
+        signs.append(PeerStatus(self.own, now, reaches_store=bool(own_reaches), leads=self.leads))
         leading = [sign for sign in signs if sign.leads]
         if own_reaches is not None:
             reaching = [sign for sign in signs if sign.reaches_store]
@@ -234,14 +234,14 @@
 
     def has_restored(self, session: str, era: int) -> bool:
         """Return whether a session says that a history of the store holds all that it knows."""
-        signs = self.signs(_ALIVE_MS)
+        signs = self.recent_statuses(_ALIVE_MS)
         return any(each.member.session == session and each.restored >= era for each in signs)
 
-    def have_restored(self, era: int) -> bool:
+    def all_restored(self, era: int) -> bool:
         """Return whether a history of the store holds all that the other live routers know."""
-        return all(sign.restored >= era for sign in self.signs(_ALIVE_MS))
+        return all(sign.restored >= era for sign in self.recent_statuses(_ALIVE_MS))
 
-    def keepers(self, subject: str) -> list[Member]:
+    def backup_peers(self, subject: str) -> list[Member]:
         """Return the routers that remember what this one tells of ``subject``, as far as they live.
 
         They rank first among the others (rendezvous hashing).
@@ -249,7 +249,7 @@
         ranked = sorted(self.alive(), key=lambda each: _weight(subject, each), reverse=True)
         return ranked[:_KEEPERS]
 
-    def runs(self, session: str) -> Member | None:
+    def find_session(self, session: str) -> Member | None:
         """Return the router whose present run is ``session``, this one among them."""
         with self._lock:
             known = (self.own, *(sign.member for sign in self._signs.values()))
@@ -275,10 +275,12 @@
             ordered = sorted(self._members.values(), key=lambda member: member.name not in heard)
             return [member.address for member in ordered]
 
-    def _recent(self, within_ms: float) -> dict[str, SignOfLife]:
+    def _recent(self, within_ms: float) -> dict[str, PeerStatus]:
         """Return the signs by name that are not older; call it with the lock held."""
         now = self._clock.monotonic_ms()
-        return {name: sign for name, sign in self._signs.items() if now - sign.at_ms <= within_ms}
+        return {
+            name: sign for name, sign in self._signs.items() if now - sign.received_ms <= within_ms
+        }
 
     def _known_here(self) -> int:
         """Return how many routers this one was listed or has heard; call it with the lock held."""
--- a/src/aspengate/peers/_messages.py
+++ b/src/aspengate/peers/_messages.py
@@ -40,7 +40,7 @@
     eras: list[int] = []
 
     @property
-    def newest(self) -> dict[str, int]:
+    def newest_revisions(self) -> dict[str, int]:
         """The revision of the newest change below each prefix of which the history is named."""
         named = zip(self.revisions.items(), self.eras, strict=False)
         return {prefix: make_revision(era, number) for (prefix, number), era in named}
@@ -71,7 +71,7 @@
     era: int = 0
 
     @property
-    def known_before(self) -> int:
+    def base_revision(self) -> int:
         """The revision up to which all has to be known before."""
         return make_revision(self.era, self.after)
 
--- a/src/aspengate/peers/_notices.py
+++ b/src/aspengate/peers/_notices.py
@@ -35,13 +35,13 @@
         counters: Counters,
         send: Callable[..., None],
         addresses: Callable[[], list[str]],
-        least_gap_ms: float = 0.0,
+        min_interval_ms: float = 0.0,
     ) -> None:
         self._merge: Callable[[Iterable[_Notice]], list[_Notice]] = merge
         self._clock = clock
         self._send = send
         self._addresses = addresses
-        self._least_gap_s = least_gap_ms / 1_000
+        self._least_gap_s = min_interval_ms / 1_000
         self._due: list[tuple[float, _Notice]] = []
         self._lock = threading.Lock()
         self._some = threading.Event()
@@ -57,7 +57,7 @@
         self._closing.set()
         self._some.set()
 
-    def tell(self, notice: _Notice) -> None:
+    def announce(self, notice: _Notice) -> None:
         """Tell all other routers."""
         now = self._clock.monotonic_ms()
         with self._lock:
--- a/src/aspengate/peers/_placements.py
+++ b/src/aspengate/peers/_placements.py
@@ -27,7 +27,7 @@
 class PlacementSink(Protocol):
     """Who is told of requests that this router sent to replicas."""
 
-    def note(self, placed: PlacedRequest) -> None:
+    def record_sent(self, placed: PlacedRequest) -> None:
         """Take a request that was just sent."""
 
 
@@ -68,11 +68,11 @@
         self._closing.set()
         self._some.set()
 
-    def note(self, placed: PlacedRequest) -> None:
+    def record_sent(self, placed: PlacedRequest) -> None:
         """Take a request that this router has just sent."""
         self._keep(self._near, self._members.own.name, [placed])
 
-    def take(self, message: Placements) -> None:
+    def handle_placements(self, message: Placements) -> None:
         """Take what another router tells; a leader passes it on."""
         for origin, requests in message.requests.items():
             if origin == self._members.own.name:
@@ -96,7 +96,7 @@
             return
         if near or far:
             domain = self._members.own.failure_domain
-            signs = self._members.signs(_LEADER_MS)
+            signs = self._members.recent_statuses(_LEADER_MS)
             others = [sign.member for sign in signs if sign.leads]
             self._tell(
                 near, PlacementScope.LEADER, [m for m in others if m.failure_domain != domain]
