--- a/features/steps/mirror_changes_steps.py
+++ b/features/steps/mirror_changes_steps.py
@@ -61,7 +61,7 @@
         super().__init__(100)
         self.application = application
 
-    def _get(self, address, target, method="GET"):
+    def _request(self, address, target, method="GET"):
         path, _, query = target.partition("?")
         environ = {"PATH_INFO": path, "QUERY_STRING": query}
         body = b"".join(self.application(environ, lambda *_: None))
--- a/src/aspengate/gateway/_peer_services.py
+++ b/src/aspengate/gateway/_peer_services.py
@@ -98,10 +98,12 @@
         """Return what a router that has just started is to know of such requests, if anything."""
         return self._crashes.recent_crashes()
 
-    def handle_limit_notice(self, notice: LimitNotice, told_by: str) -> None:
+    def handle_limit_notice(self, notice: LimitNotice, reported_by: str) -> None:
         """Note what another router knows of the limits that replicas name."""
         for word in notice.words:
-            self._registry.record_peer_limit(word.replica, word.number, word.per_second, told_by)
+            self._registry.record_peer_limit(
+                word.replica, word.number, word.per_second, reported_by
+            )
 
     def known_limits(self) -> LimitNotice | None:
         """Return what a router that has just started is to know of limits, if anything."""
--- a/src/aspengate/membership/__init__.py
+++ b/src/aspengate/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Who is part of the fleet, and which sessions no longer count."""
+"""Assignment of work to the members of a group, and the list of fenced sessions."""
 
 from aspengate.membership._fences import FENCES_KEY, FenceDocument, FencedSession, fences_document
 from aspengate.membership._ranking import owner_of, rank_owners
--- a/src/aspengate/membership/_fences.py
+++ b/src/aspengate/membership/_fences.py
@@ -1,17 +1,17 @@
-"""The list of fenced sessions in the store, which each new agent reads before it works."""
+"""The list of fenced sessions in the store, which each new agent reads before it starts work."""
 
 import msgspec
 
 from aspengate.adapters import Store, StoreDocument
 
 FENCES_KEY = "aspengate/fences"
-_OPERATIONS_KEPT = 64
+_MAX_OPERATIONS = 64
 
 
 class FencedSession(msgspec.Struct, frozen=True, array_like=True):
-    """A session whose money, dispatches and claims no agent honours any more.
+    """A fenced session: agents reject its money, dispatches and claims from now on.
 
-    After ``certain_ms`` everything that it gave out has lapsed by itself.
+    After ``certain_ms``, everything that the session gave out has expired by itself.
     """
 
     session: str
@@ -20,27 +20,30 @@
 
 
 class FenceDocument(msgspec.Struct, frozen=True, array_like=True):
-    """All sessions that are fenced and could still do harm."""
+    """The fenced sessions that have not expired yet, and the ids of the last writes."""
 
     fenced: tuple[FencedSession, ...] = ()
     operations: tuple[str, ...] = ()
 
     def has_applied(self, operation_id: str) -> bool:
-        """Return whether the write with this id took effect."""
+        """Return whether the write with this id has been applied."""
         return operation_id in self.operations
 
     def with_fence(self, operation_id: str, fence: FencedSession, now_ms: int) -> "FenceDocument":
-        """Return the list with one more fence, and without those that have lapsed."""
+        """Return the document with ``fence`` added and expired fences removed.
+
+        If the session is fenced already, its existing fence is kept.
+        """
         kept = tuple(
             each
             for each in self.fenced
             if each.certain_ms > now_ms and each.session != fence.session
         )
         known = next((each for each in self.fenced if each.session == fence.session), fence)
-        operations = (*self.operations, operation_id)[-_OPERATIONS_KEPT:]
+        operations = (*self.operations, operation_id)[-_MAX_OPERATIONS:]
         return FenceDocument((*kept, known), operations)
 
 
 def fences_document(store: Store) -> StoreDocument[FenceDocument]:
-    """Return the document of fences in a store."""
+    """Return access to the fences document in a store."""
     return StoreDocument(store, FENCES_KEY, FenceDocument(), FenceDocument.has_applied)
--- a/src/aspengate/membership/_ranking.py
+++ b/src/aspengate/membership/_ranking.py
@@ -1,6 +1,6 @@
-"""Which member of a group should own a piece of work, without asking anyone.
+"""Assigns work to the members of a group by rendezvous hashing, without coordination.
 
-Rendezvous hashing: when a member comes or goes, only its own share of the work moves.
+If a member joins or leaves, only that member's share of the work is reassigned.
 """
 
 from collections.abc import Iterable
@@ -9,12 +9,12 @@
 
 
 def rank_owners(work: str, members: Iterable[str]) -> list[str]:
-    """Return the members in the order in which they should own ``work``."""
+    """Return the members in order of preference as the owner of ``work``."""
     return sorted(members, key=lambda member: _weight(work, member), reverse=True)
 
 
 def owner_of(work: str, members: Iterable[str]) -> str | None:
-    """Return the member that should own ``work``; ``None`` where there are no members."""
+    """Return the member that should own ``work``, or None if there are no members."""
     return max(members, key=lambda member: _weight(work, member), default=None)
 
 
--- a/src/aspengate/peers/__init__.py
+++ b/src/aspengate/peers/__init__.py
@@ -1,4 +1,4 @@
-"""The other routers: who they are, that they live, and what they know of the store."""
+"""Communication between routers: membership, leadership, datagrams and HTTP calls."""
 
 from aspengate.peers._datagrams import DatagramPort
 from aspengate.peers._exchange import PeerApplication, PeerClient, PeerServices
--- a/src/aspengate/peers/_datagrams.py
+++ b/src/aspengate/peers/_datagrams.py
@@ -1,4 +1,4 @@
-"""The socket by which routers send each other small messages that may get lost."""
+"""A UDP socket for small messages between routers, which may get lost."""
 
 import contextlib
 import socket
@@ -11,12 +11,12 @@
 from aspengate.store import DECODE_ERRORS
 from aspengate.telemetry import Counters, lasting_thread, log_change
 
-_MOST_BYTES = 64 * 1024
-_PAUSE_S = 0.1
-# What a line tells of a message that can't be read, and of how many kinds there are lines: who
-# sends anything would else fill the log.
-_MOST_TOLD = 200
-_MOST_TOLD_KINDS = 32
+_MAX_DATAGRAM_BYTES = 64 * 1024
+_RECEIVE_RETRY_S = 0.1
+# Limits on what is logged of unreadable messages: characters of a text, and kinds of messages.
+# Without them, any sender could fill the log.
+_MAX_LOGGED_CHARS = 200
+_MAX_LOGGED_KINDS = 32
 
 OnDatagram = Callable[[Datagram, str], None]
 
@@ -24,8 +24,8 @@
 class DatagramPort:
     """Sends and receives datagrams at ``address``.
 
-    ``on_datagram`` is called with each message and the address that it came from, on a thread
-    of this port's own.
+    ``on_datagram`` is called with each message and its sender's address, on the port's receiving
+    thread. An exception that it raises is counted and logged.
     """
 
     def __init__(self, address: str, counters: Counters, on_datagram: OnDatagram) -> None:
@@ -35,23 +35,23 @@
         self.address = f"{host}:{self._socket.getsockname()[1]}"
         self._counters = counters
         self._on_datagram = on_datagram
-        self._told: set[str] = set()
+        self._logged_kinds: set[str] = set()
         self._closing = threading.Event()
         self._thread = lasting_thread(self._run, "datagrams", counters)
 
     def start(self) -> None:
-        """Begin to receive."""
+        """Start to receive messages."""
         self._thread.start()
 
     def close(self) -> None:
-        """Stop."""
+        """Stop receiving and close the socket."""
         self._closing.set()
         with contextlib.suppress(OSError):
             self._socket.shutdown(socket.SHUT_RDWR)
         self._socket.close()
 
     def send(self, message: Datagram, *addresses: str) -> None:
-        """Send a message to each address; whether it arrives is not known."""
+        """Send a message to each address, without confirmation; socket errors are ignored."""
         data = msgspec.msgpack.encode(message)
         kind = str(type(message).__struct_config__.tag)
         self._counters.count(f"datagrams.sent.{kind}", len(addresses))
@@ -64,33 +64,34 @@
     def _run(self) -> None:
         while not self._closing.is_set():
             try:
-                data, sender = self._socket.recvfrom(_MOST_BYTES)
+                data, sender = self._socket.recvfrom(_MAX_DATAGRAM_BYTES)
             except OSError:
                 sender = None
             if sender is None:
-                self._closing.wait(_PAUSE_S)
+                self._closing.wait(_RECEIVE_RETRY_S)
                 continue
             try:
                 message = msgspec.msgpack.decode(data, type=Datagram)
             except DECODE_ERRORS as error:
-                self._tell_unreadable(data, f"{sender[0]}:{sender[1]}", error)
+                self._log_unreadable(data, f"{sender[0]}:{sender[1]}", error)
                 continue
-            self._hand_over(message, f"{sender[0]}:{sender[1]}")
+            self._dispatch(message, f"{sender[0]}:{sender[1]}")
 
-    def _tell_unreadable(self, data: bytes, sender: str, error: Exception) -> None:
-        """Count a message that can't be read, and write a line for the first one of each kind.
+    def _log_unreadable(self, data: bytes, sender: str, error: Exception) -> None:
+        """Count an unreadable message, and log the first one of each kind.
 
-        A router of a newer build sends kinds that this one does not know, many in a second.
+        Only the first, because a router of a newer build may send many messages per second of a
+        kind that this build does not have.
         """
         self._counters.count("datagrams.unreadable")
         kind = _kind_of(data)
-        if kind in self._told or len(self._told) >= _MOST_TOLD_KINDS:
+        if kind in self._logged_kinds or len(self._logged_kinds) >= _MAX_LOGGED_KINDS:
             return
-        self._told.add(kind)
-        message = str(error)[:_MOST_TOLD]
+        self._logged_kinds.add(kind)
+        message = str(error)[:_MAX_LOGGED_CHARS]
         log_change("datagram.unreadable", kind=kind, sender=sender, error=message)
 
-    def _hand_over(self, message: Datagram, sender: str) -> None:
+    def _dispatch(self, message: Datagram, sender: str) -> None:
         try:
             self._on_datagram(message, sender)
         except Exception as error:
@@ -99,10 +100,10 @@
 
 
 def _kind_of(data: bytes) -> str:
-    """Return what a message that can't be read calls itself; empty where it is no message."""
+    """Return the kind that an unreadable message names, or an empty string if it names none."""
     try:
         fields = msgspec.msgpack.decode(data)
     except DECODE_ERRORS:
         return ""
     kind = fields.get("type") if isinstance(fields, dict) else None
-    return kind[:_MOST_TOLD] if isinstance(kind, str) else ""
+    return kind[:_MAX_LOGGED_CHARS] if isinstance(kind, str) else ""
--- a/src/aspengate/peers/_exchange.py
+++ b/src/aspengate/peers/_exchange.py
@@ -1,4 +1,4 @@
-"""What routers ask of each other by HTTP: a mirror of the store, a session's ceilings."""
+"""HTTP calls between routers: the state of a mirror of the store, and a session's ceilings."""
 
 import http.client
 import zlib
@@ -38,15 +38,15 @@
 )
 
 _MIRROR_PATH = "/mirror"
-# The fastest level brings a made list of 3,000 replicas from 765 to 43 KB in 4 ms.
+# The fastest level reduces a generated list of 3,000 replicas from 765 to 43 KB in 4 ms.
 _COMPRESSION_LEVEL = 1
-# The first byte of compressed content; a list in msgpack begins with another one.
-_COMPRESSED = b"\x78"
+# The first byte of zlib data; a msgpack array starts with a different byte.
+_ZLIB_FIRST_BYTE = b"\x78"
 _CEILINGS_PATH = "/ceilings"
 
 
 class _Item(msgspec.Struct, array_like=True):
-    """``revision`` is its number in the history that the body names, as in a removal."""
+    """An item of the store; ``revision`` is its change number in the era that the body names."""
 
     key: str
     value: bytes
@@ -54,14 +54,16 @@
 
 
 class _Removal(msgspec.Struct, array_like=True):
+    """A removed key; ``revision`` is its change number in the era that the body names."""
+
     key: str
     revision: int
 
 
 class _MirrorBody(msgspec.Struct, array_like=True):
-    """``items`` are all, unless ``is_whole`` says that they are those that have changed.
+    """The state of a mirror if ``is_whole``, otherwise the changes since the revision asked for.
 
-    Revisions are numbers in the history ``era``, which builds before the histories do not name.
+    Revisions are change numbers in ``era``. Builds that predate eras do not send it.
     """
 
     items: list[_Item]
@@ -73,57 +75,59 @@
 
 
 class _CeilingsBody(msgspec.Struct, array_like=True):
+    """The ceilings of a session that was closed, in tokens by account."""
+
     ceilings: dict[str, int]
 
 
 class PeerServices(Protocol):
-    """What a router does for its peers."""
+    """Interface of the services that a router provides to its peers."""
 
     def handle_loan_request(
         self, request: LoanRequest, answer: Callable[[LoanReply], None]
     ) -> None:
-        """Lend tokens; ``answer`` is called once it is decided how many."""
+        """Lend tokens; ``answer`` is called with the reply once the amount is decided."""
 
     def handle_repayment(self, payment: Repayment) -> bool:
-        """Take tokens back; return whether they count now."""
+        """Accept repaid tokens; return whether they are credited."""
 
     def accept_ceilings(self, notice: CeilingNotice) -> bool:
-        """Remember what a session will use at most; return False where it takes no more."""
+        """Record the maximum use of a session; return False if it cannot be accepted any more."""
 
     def close_witnessed(self, session: str) -> dict[str, int] | None:
-        """Accept no more of a session; return its ceilings by account, None if not known."""
+        """Close a session and return its ceilings in tokens by account; None if it is unknown."""
 
     def handle_grants(self, notice: GrantNotice) -> None:
-        """Remember what the store granted another router's session."""
+        """Record what the store granted to another router's session."""
 
     def handle_placed_request(self, placed: PlacedRequest) -> None:
-        """Note a request that another router has sent to a replica."""
+        """Record a request that another router sent to a replica."""
 
     def handle_crash_notice(self, notice: CrashNotice) -> None:
-        """Note under which requests another router saw replicas end."""
+        """Record the requests under which replicas crashed at another router."""
 
     def known_crashes(self) -> CrashNotice | None:
-        """Return what a router that has just started is to know of such requests, if anything."""
+        """Return the recent crashes, to be sent to a router that has just started; None if none."""
 
-    def handle_limit_notice(self, notice: LimitNotice, told_by: str) -> None:
-        """Note what another router knows of the limits that replicas name."""
+    def handle_limit_notice(self, notice: LimitNotice, reported_by: str) -> None:
+        """Record the limits of replicas that the router at ``reported_by`` reports."""
 
     def known_limits(self) -> LimitNotice | None:
-        """Return what a router that has just started is to know of limits, if anything."""
+        """Return the known limits, to be sent to a router that has just started; None if none."""
 
     def handle_permit_request(
         self, request: PermitRequest
     ) -> tuple[PermitReply, LimitNotice | None]:
-        """Grant another router a permit, if there is one; return what it has to know besides."""
+        """Grant another router a permit if one is free; return newer limits that it lacks too."""
 
     def handle_permit_use(self, use: PermitUse) -> None:
-        """Note what became of a permit that another router was granted."""
+        """Record whether a permit that another router was granted has been used."""
 
 
 class PeerApplication:
-    """A WSGI application that answers other routers.
+    """Serves the HTTP calls of other routers as a WSGI application.
 
-    ``mirrors`` are handed out by prefix; the rest is up to ``services``.
+    ``mirrors`` are the mirrors of the store by prefix. ``services`` closes witnessed sessions.
     """
 
     def __init__(self, mirrors: Mapping[str, StoreMirror], services: PeerServices) -> None:
@@ -132,7 +136,7 @@
         self._encoded: dict[tuple[str, int], tuple[int, bytes]] = {}
 
     def __call__(self, environ: WsgiEnvironment, start_response: StartResponse) -> Iterable[bytes]:
-        """Answer one peer."""
+        """Respond to one call of a peer, with status 404 if what it asks for is unknown."""
         query = parse_qs(environ.get("QUERY_STRING", ""))
         try:
             body = self._body(environ["PATH_INFO"], query)
@@ -154,17 +158,17 @@
         prefix = query["prefix"][0]
         since = query.get("since")
         if since is None:
-            # Builds that don't ask for a revision can't read a compressed answer either.
-            return msgspec.msgpack.encode(_body_below(self._mirrors, prefix))
+            # Builds that send no revision cannot read a compressed response either.
+            return msgspec.msgpack.encode(_body_for_prefix(self._mirrors, prefix))
         era = query.get("era", ["0"])[0]
-        return self._mirror(prefix, make_revision(int(era), int(since[0])))
+        return self._encoded_mirror(prefix, make_revision(int(era), int(since[0])))
 
-    def _mirror(self, prefix: str, since: int) -> bytes:
-        """Return a mirror's answer; whole lists are encoded once for all that ask together."""
+    def _encoded_mirror(self, prefix: str, since: int) -> bytes:
+        """Return a mirror's encoded body; whole lists are cached, since many peers ask at once."""
         mirror = self._mirrors[prefix]
-        known = self._encoded.get((prefix, since))
-        if known is not None and known[0] == mirror.state.revision:
-            return known[1]
+        cached = self._encoded.get((prefix, since))
+        if cached is not None and cached[0] == mirror.state.revision:
+            return cached[1]
         body = _mirror_body(mirror, since)
         encoded = zlib.compress(msgspec.msgpack.encode(body), _COMPRESSION_LEVEL)
         if body.is_whole:
@@ -174,7 +178,7 @@
 
 
 def _mirror_body(mirror: StoreMirror, since: int) -> _MirrorBody:
-    """Return what has changed since a revision, or all where that is not known."""
+    """Return the changes since a revision, or the whole state if they are not known."""
     state = mirror.state
     changes = mirror.changes_since(since)
     if changes is None:
@@ -202,13 +206,13 @@
     return [_Item(each.key, each.value, number_of(each.revision)) for each in items]
 
 
-def _body_below(mirrors: Mapping[str, StoreMirror], prefix: str) -> _MirrorBody:
-    """Return all that is known below a prefix, also where a mirror follows more than that.
+def _body_for_prefix(mirrors: Mapping[str, StoreMirror], prefix: str) -> _MirrorBody:
+    """Return all items below a prefix, from the mirror of that prefix or of a shorter one.
 
-    Raises KeyError where none follows it.
+    Raises KeyError if there is no such mirror.
     """
-    for followed, mirror in mirrors.items():
-        if prefix.startswith(followed):
+    for mirrored, mirror in mirrors.items():
+        if prefix.startswith(mirrored):
             state = mirror.state
             items = state.items.values()
             return _whole_body(state, (each for each in items if each.key.startswith(prefix)))
@@ -216,18 +220,19 @@
 
 
 class PeerClient:
-    """Asks other routers; ``timeout_ms`` bounds each call."""
+    """Calls other routers; ``timeout_ms`` is the socket timeout of each call in ms."""
 
     def __init__(self, timeout_ms: float) -> None:
         self.timeout_ms = timeout_ms
 
     def fetch_mirror(self, address: str, prefix: str, since: int = 0) -> Snapshot | Changes:
-        """Return what a peer's mirror knows beyond the revision ``since``, or its whole state.
+        """Return the changes of a peer's mirror after the revision ``since``, or its whole state.
 
-        Raises STORE_UNAVAILABLE. A list of 3,000 replicas has 750 KB, a change of one 250 bytes.
+        Changes are preferred for their size: a list of 3,000 replicas has 750 KB, a change of one
+        replica 250 bytes. Raises STORE_UNAVAILABLE if the peer fails to respond.
         """
         query = urlencode({"prefix": prefix, "since": number_of(since), "era": era_of(since)})
-        content = self._get(address, f"{_MIRROR_PATH}?{query}")
+        content = self._request(address, f"{_MIRROR_PATH}?{query}")
         try:
             body = msgspec.msgpack.decode(_decompressed(content), type=_MirrorBody)
         except (*DECODE_ERRORS, zlib.error) as error:
@@ -245,37 +250,39 @@
         return Changes(items, removed, revision)
 
     def close_witnessed(self, address: str, session: str) -> dict[str, int]:
-        """Have a peer close a session that it witnesses, and return the session's ceilings.
+        """Close a session at the peer that witnesses it, and return the session's ceilings.
 
-        Raises STORE_UNAVAILABLE where the peer does not answer or does not know the session.
+        Raises STORE_UNAVAILABLE if the peer fails to respond or has no such session.
         """
         target = f"{_CEILINGS_PATH}?{urlencode({'session': session})}"
-        content = self._get(address, target, method="POST")
+        content = self._request(address, target, method="POST")
         try:
             return msgspec.msgpack.decode(content, type=_CeilingsBody).ceilings
         except DECODE_ERRORS as error:
             raise _unavailable(address, error) from error
 
-    def _get(self, address: str, target: str, method: str = "GET") -> bytes:
+    def _request(self, address: str, target: str, method: str = "GET") -> bytes:
         connection = http.client.HTTPConnection(address, timeout=self.timeout_ms / 1_000)
         try:
             connection.request(method, target)
-            answer = connection.getresponse()
-            content = answer.read()
+            response = connection.getresponse()
+            content = response.read()
         except (OSError, http.client.HTTPException) as error:
             raise _unavailable(address, error) from error
         finally:
             connection.close()
-        if answer.status != HTTPStatus.OK:
+        if response.status != HTTPStatus.OK:
             raise AspengateError(
-                ErrorKind.STORE_UNAVAILABLE, f"status {answer.status}", where=address
+                ErrorKind.STORE_UNAVAILABLE,
+                f"peer responded with status {response.status}",
+                where=address,
             )
         return content
 
 
 def _decompressed(content: bytes) -> bytes:
-    """Return an answer's content, which builds before the compression send as it is."""
-    return zlib.decompress(content) if content[:1] == _COMPRESSED else content
+    """Return the decompressed content; builds that predate the compression send it plain."""
+    return zlib.decompress(content) if content[:1] == _ZLIB_FIRST_BYTE else content
 
 
 def _unavailable(address: str, cause: Exception) -> AspengateError:
--- a/src/aspengate/peers/_members.py
+++ b/src/aspengate/peers/_members.py
@@ -1,4 +1,4 @@
-"""The routers that are registered in the store."""
+"""The routers of the fleet: their records in the store, and the last status message of each."""
 
 import random
 import threading
@@ -16,22 +16,25 @@
 from aspengate.telemetry import log_change
 
 MEMBER_PREFIX = "aspengate/routers/"
+# Time in ms after its last status message for which a router counts as alive, and for which it
+# counts as a member although the store does not list it.
 _ALIVE_MS = 3_000.0
-_REMEMBERED_MS = 60_000.0
-# So many other routers remember what the store has granted one: one of them and the router itself
-# may die together.
-_KEEPERS = 2
-# What stands for the build of routers that tell of none.
-_NO_BUILD = "untold"
-# A leader that was not heard for so long, in ms, draws no tokens: three of its beats.
+_RETENTION_MS = 60_000.0
+# Number of other routers that remember a grant of the store to a router. With two, one of them and
+# the router itself may die at the same time.
+_BACKUP_COUNT = 2
+# Stands for the build of routers that do not report one.
+_UNREPORTED_BUILD = "untold"
+# Time in ms after its last status message for which a leader may be the primary of an account:
+# three of its status intervals.
 _LEADER_ALIVE_MS = 1_000.0
 
 
 class Member(msgspec.Struct, frozen=True):
-    """A router as it registers itself: ``address`` is where its peers reach it.
+    """The record by which a router registers itself; peers reach it at ``address``.
 
-    ``capacity`` tells large instances from small ones: the memory it may use, in MB. ``build`` is
-    the name of its program's build, empty in builds that have none.
+    ``capacity`` is the memory that it may use, in MB, by which large instances are distinguished
+    from small ones. ``build`` is the name of the router's build, empty for builds without a name.
     """
 
     name: str
@@ -44,12 +47,12 @@
 
 @dataclass(frozen=True)
 class PeerStatus:
-    """What a router told of itself last, at ``at_ms`` in monotonic milliseconds.
+    """The last status message of another router, received at ``received_ms`` in monotonic time.
 
-    ``leads`` tells whether it follows the store for its failure domain, ``listed`` how many
-    routers it knows, 0 where it has not read the store's list. ``prefixes`` are the parts of the
-    store that it follows or is told of, and of which it names the history. ``restored`` is the
-    history of the store that holds all which it knows.
+    ``reaches_store`` is whether the store answers it, ``leads`` whether it leads its failure
+    domain, and ``listed`` the number of routers that it is aware of, 0 if it has not read the
+    store's list. ``prefixes`` are the prefixes of the store of which it receives changes and names
+    the era. ``restored`` is the era of the store that contains all account documents that it knows.
     """
 
     member: Member
@@ -62,9 +65,11 @@
 
 
 class MemberList:
-    """All registered routers but this one, and when each was last heard.
+    """Tracks the other routers of the fleet and the last status message of each.
 
-    ``leads`` tells whether this router itself follows the store for its failure domain.
+    ``own`` is this router's record, and ``registered`` whether the store is known to contain it.
+    ``listed`` is the number of routers when the store's list was last read, 0 if it has not been
+    read. ``leads`` is whether this router leads its failure domain.
     """
 
     def __init__(self, own: Member, clock: Clock) -> None:
@@ -74,29 +79,29 @@
         self.leads = False
         self._clock = clock
         self._members: dict[str, Member] = {}
-        self._signs: dict[str, PeerStatus] = {}
+        self._statuses: dict[str, PeerStatus] = {}
         self._lock = threading.Lock()
 
     @property
     def count(self) -> int:
-        """How many routers may be alive, this one among them."""
+        """Upper estimate of the number of live routers, including this one."""
         with self._lock:
-            return max(self._known_here(), self._told())
+            return max(self._local_count(), self._reported_count())
 
     @property
     def count_known(self) -> bool:
-        """Whether ``count`` goes by the store's list, as read by this router or by another."""
+        """Whether ``count`` is based on the store's list, as read by this or another router."""
         with self._lock:
-            return bool(self.listed or self._told())
+            return bool(self.listed or self._reported_count())
 
     @property
     def own_count(self) -> int:
-        """How many routers this one knows of itself; 0 where it has not read the store's list."""
+        """``count`` by this router's own data alone; 0 if it has not read the store's list."""
         with self._lock:
-            return self._known_here() if self.listed else 0
+            return self._local_count() if self.listed else 0
 
     def update(self, listed: Snapshot) -> None:
-        """Take over what is registered in the store."""
+        """Replace the members by the listed ones and those that sent a status message recently."""
         members = {}
         for item in listed.items:
             try:
@@ -109,8 +114,8 @@
             else:
                 self.registered = member == self.own
         with self._lock:
-            for name, sign in self._recent(_REMEMBERED_MS).items():
-                members[name] = sign.member
+            for name, status in self._recent(_RETENTION_MS).items():
+                members[name] = status.member
             self._members = members
             self.listed = 1 + len(members)
 
@@ -124,12 +129,12 @@
         prefixes: Iterable[str] = (),
         restored: int = 0,
     ) -> bool:
-        """Note a sign of life of another router; return whether its run is new to this one."""
+        """Record a status message of another router; return whether its session is a new one."""
         if member.name == self.own.name:
             return False
         now = self._clock.monotonic_ms()
         with self._lock:
-            before = self._signs.get(member.name)
+            before = self._statuses.get(member.name)
             if before is None:
                 log_change(
                     "member.heard", name=member.name, address=member.address, build=member.build
@@ -141,172 +146,183 @@
                     session=member.session,
                     build=member.build,
                 )
-            self._signs[member.name] = PeerStatus(
+            self._statuses[member.name] = PeerStatus(
                 member, now, reaches_store, leads, listed, frozenset(prefixes), restored
             )
             self._members[member.name] = member
             return before is None or before.member.session != member.session
 
     def alive(self) -> list[Member]:
-        """Return the other routers that were heard of lately."""
-        return [sign.member for sign in self.recent_statuses(_ALIVE_MS)]
+        """Return the other routers that sent a status message recently."""
+        return [status.member for status in self.recent_statuses(_ALIVE_MS)]
 
     def builds(self) -> Counter[str]:
-        """Return how many routers, of this one and those heard lately, run each build."""
+        """Return the number of live routers, including this one, by build."""
         members = [self.own, *self.alive()]
-        return Counter(each.build or _NO_BUILD for each in members)
+        return Counter(each.build or _UNREPORTED_BUILD for each in members)
 
     def is_router_alive(self, name: str) -> bool:
-        """Return whether another router was heard of lately."""
+        """Return whether the other router of this name sent a status message recently."""
         with self._lock:
-            sign = self._signs.get(name)
-        return sign is not None and self._clock.monotonic_ms() - sign.received_ms <= _ALIVE_MS
+            status = self._statuses.get(name)
+        return status is not None and self._clock.monotonic_ms() - status.received_ms <= _ALIVE_MS
 
     def recent_statuses(self, within_ms: float) -> list[PeerStatus]:
-        """Return the last signs of the other routers that are not older than ``within_ms``."""
+        """Return the last statuses of other routers that are at most ``within_ms`` old."""
         with self._lock:
             return list(self._recent(within_ms).values())
 
     @property
     def has_live_leader(self) -> bool:
-        """Whether this router leads, or has just heard one that leads its failure domain."""
+        """Whether this router or another live one leads this router's failure domain."""
         domain = self.own.failure_domain
-        signs = self.recent_statuses(_LEADER_ALIVE_MS)
+        statuses = self.recent_statuses(_LEADER_ALIVE_MS)
         return self.leads or any(
-            sign.leads and sign.member.failure_domain == domain for sign in signs
+            status.leads and status.member.failure_domain == domain for status in statuses
         )
 
     def names(self) -> list[str]:
-        """Return the names of the other routers, heard of or only listed."""
+        """Return the names of the other routers, alive or only listed."""
         with self._lock:
             return list(self._members)
 
     def address_of(self, name: str) -> str:
-        """Return where a router is reached; empty where it is not known."""
+        """Return the address of a router, or an empty string if it is unknown."""
         with self._lock:
             member = self._members.get(name)
         return member.address if member else ""
 
     def in_domain(self) -> list[Member]:
-        """Return the other routers of this router's failure domain, heard of or only listed."""
+        """Return the other routers of this router's failure domain, alive or only listed."""
         with self._lock:
             known = list(self._members.values())
         return [each for each in known if each.failure_domain == self.own.failure_domain]
 
-    def lenders(self, most: int) -> list[Member]:
-        """Return up to ``most`` live routers in random order, those that reach the store first."""
+    def lenders(self, max_count: int) -> list[Member]:
+        """Return at most ``max_count`` live routers, those that reach the store first.
+
+        Within each of the two groups, the order is random.
+        """
         found = self.recent_statuses(_ALIVE_MS)
         random.shuffle(found)
-        found.sort(key=lambda sign: not sign.reaches_store)
-        return [sign.member for sign in found[:most]]
+        found.sort(key=lambda status: not status.reaches_store)
+        return [status.member for status in found[:max_count]]
 
     def primary(
         self, account: str, suspects: frozenset[str], *, own_reaches: bool | None
     ) -> Member:
-        """Return the router that draws an account's tokens, which may be this one.
-
-        It is one of those that lead a failure domain, which all routers hear often: so all agree
-        on it, without a message (rendezvous hashing). Where the store answers none of these it is
-        any that the store answers, and where there is none either, one that leads: it holds what
-        was drawn. ``own_reaches`` tells whether the store answers this router, None that it does
-        not matter of any. ``suspects`` are sessions that did not answer lately.
+        """Return the router that draws an account's tokens from the store, possibly this one.
+
+        It is one of the leaders of failure domains, chosen by rendezvous hashing. All routers
+        receive the leaders' status messages often, so they agree without further messages. If the
+        store answers no leader, any router that it answers is chosen, and if it answers none, a
+        leader, since leaders hold the tokens that were drawn before. ``own_reaches`` is whether
+        the store answers this router, or None to ignore store access. ``suspects`` are sessions
+        that recently did not answer.
         """
         now = self._clock.monotonic_ms()
-        signs = [
-            sign
-            for sign in self.recent_statuses(_ALIVE_MS)
-            if sign.member.session not in suspects
-            if not sign.leads or now - sign.received_ms <= _LEADER_ALIVE_MS
+        statuses = [
+            status
+            for status in self.recent_statuses(_ALIVE_MS)
+            if status.member.session not in suspects
+            if not status.leads or now - status.received_ms <= _LEADER_ALIVE_MS
         ]
-        signs.append(PeerStatus(self.own, now, reaches_store=bool(own_reaches), leads=self.leads))
-        leading = [sign for sign in signs if sign.leads]
+        statuses.append(
+            PeerStatus(self.own, now, reaches_store=bool(own_reaches), leads=self.leads)
+        )
+        leading = [status for status in statuses if status.leads]
         if own_reaches is not None:
-            reaching = [sign for sign in signs if sign.reaches_store]
-            leading = [sign for sign in leading if sign.reaches_store] or reaching or leading
-        signs = leading or signs
+            reaching = [status for status in statuses if status.reaches_store]
+            leading = [status for status in leading if status.reaches_store] or reaching or leading
+        statuses = leading or statuses
 
-        return max((sign.member for sign in signs), key=lambda each: _weight(account, each))
+        return max((status.member for status in statuses), key=lambda each: _weight(account, each))
 
     def is_first(self, subject: str) -> bool:
-        """Return whether this router ranks first of those heard lately in what is one's to do."""
+        """Return whether this router ranks first among the live ones for a task on ``subject``.
+
+        This selects a single router without any coordination (rendezvous hashing).
+        """
         members = [self.own, *self.alive()]
         return max(members, key=lambda each: _weight(subject, each)).name == self.own.name
 
     def has_restored(self, session: str, era: int) -> bool:
-        """Return whether a session says that a history of the store holds all that it knows."""
-        signs = self.recent_statuses(_ALIVE_MS)
-        return any(each.member.session == session and each.restored >= era for each in signs)
+        """Return whether a session reports that ``era`` contains all account documents it knows."""
+        statuses = self.recent_statuses(_ALIVE_MS)
+        return any(each.member.session == session and each.restored >= era for each in statuses)
 
     def all_restored(self, era: int) -> bool:
-        """Return whether a history of the store holds all that the other live routers know."""
-        return all(sign.restored >= era for sign in self.recent_statuses(_ALIVE_MS))
+        """Return whether ``era`` contains all account documents that other live routers know."""
+        return all(status.restored >= era for status in self.recent_statuses(_ALIVE_MS))
 
     def backup_peers(self, subject: str) -> list[Member]:
-        """Return the routers that remember what this one tells of ``subject``, as far as they live.
+        """Return the live routers that keep copies of this router's data on ``subject``.
 
-        They rank first among the others (rendezvous hashing).
+        They are the first by rendezvous hashing among the other routers.
         """
         ranked = sorted(self.alive(), key=lambda each: _weight(subject, each), reverse=True)
-        return ranked[:_KEEPERS]
+        return ranked[:_BACKUP_COUNT]
 
     def find_session(self, session: str) -> Member | None:
-        """Return the router whose present run is ``session``, this one among them."""
+        """Return the router, possibly this one, whose current session is ``session``, or None."""
         with self._lock:
-            known = (self.own, *(sign.member for sign in self._signs.values()))
+            known = (self.own, *(status.member for status in self._statuses.values()))
         return next((member for member in known if member.session == session), None)
 
     def is_superseded(self, session: str) -> bool:
-        """Return whether the session's router was heard in another run."""
+        """Return whether the session's router is known to have a different current session."""
         router = router_of(session)
         if router == self.own.name:
             return session != self.own.session
         with self._lock:
-            heard = self._signs.get(router)
-        return heard is not None and heard.member.session != session
+            status = self._statuses.get(router)
+        return status is not None and status.member.session != session
 
     def is_alive(self, session: str) -> bool:
-        """Return whether the session was heard of lately."""
+        """Return whether another router sent a status message in this session recently."""
         return session in {member.session for member in self.alive()}
 
     def addresses(self) -> list[str]:
-        """Return the addresses of the other routers, those heard of lately first."""
+        """Return the addresses of the other routers, those of live ones first."""
         with self._lock:
-            heard = self._recent(_ALIVE_MS)
-            ordered = sorted(self._members.values(), key=lambda member: member.name not in heard)
+            live = self._recent(_ALIVE_MS)
+            ordered = sorted(self._members.values(), key=lambda member: member.name not in live)
             return [member.address for member in ordered]
 
     def _recent(self, within_ms: float) -> dict[str, PeerStatus]:
-        """Return the signs by name that are not older; call it with the lock held."""
+        """Return the statuses of at most this age by router name; requires the lock."""
         now = self._clock.monotonic_ms()
         return {
-            name: sign for name, sign in self._signs.items() if now - sign.received_ms <= within_ms
+            name: status
+            for name, status in self._statuses.items()
+            if now - status.received_ms <= within_ms
         }
 
-    def _known_here(self) -> int:
-        """Return how many routers this one was listed or has heard; call it with the lock held."""
+    def _local_count(self) -> int:
+        """Return the number of routers by this router's own data; requires the lock."""
         return max(1 + len(self._members), self.listed)
 
-    def _told(self) -> int:
-        """Return how many routers others know who read the list; call it with the lock held.
+    def _reported_count(self) -> int:
+        """Return the largest number that other routers report from the list; requires the lock.
 
-        Leaders read it again and hear all others; the word of the rest counts for a router that
-        has not read it.
+        Reports of leaders always count, since leaders read the list again and receive the messages
+        of all routers. Other reports count only while this router has not read the list itself.
         """
-        told = [
-            sign.listed
-            for sign in self._recent(_REMEMBERED_MS).values()
-            if sign.leads or not self.listed
+        reported = [
+            status.listed
+            for status in self._recent(_RETENTION_MS).values()
+            if status.leads or not self.listed
         ]
-        return max(told, default=0)
+        return max(reported, default=0)
 
     def register(self, store: KeyValueStore) -> None:
-        """Write this router into the store; raises AspengateError where that fails."""
+        """Write this router's record to the store; raises AspengateError if that fails."""
         value = msgspec.json.encode(self.own)
         store.transact({}, (Put(MEMBER_PREFIX + self.own.name, value),))
         self.registered = True
 
     def withdraw(self, store: KeyValueStore) -> None:
-        """Take this router out of the store, as far as the store can be reached."""
+        """Remove this router's record from the store; a failure is only logged."""
         try:
             store.remove(MEMBER_PREFIX + self.own.name)
         except AspengateError as error:
@@ -314,7 +330,7 @@
 
 
 def _weight(subject: str, member: Member) -> int:
-    """Return a router's rank in what concerns ``subject`` (rendezvous hashing)."""
+    """Return a router's weight for ``subject`` in rendezvous hashing."""
     return xxhash.xxh64_intdigest(f"{subject}/{member.name}".encode())
 
 
@@ -324,5 +340,5 @@
 
 
 def peer_addresses(seeds: Iterable[str], port: int) -> list[str]:
-    """Return where the routers named as seeds would listen to their peers."""
+    """Return the addresses of the hosts of ``seeds`` with the peers' ``port``."""
     return [f"{host_of(seed)}:{port}" for seed in seeds]
--- a/src/aspengate/peers/_messages.py
+++ b/src/aspengate/peers/_messages.py
@@ -1,7 +1,7 @@
-"""What routers tell each other by datagrams.
+"""The datagrams that routers send each other.
 
-A revision of the store travels as its number, which older builds read, and beside
-it the history that it belongs to.
+A revision of the store is sent as its change number, which older builds read, with the era
+that it belongs to in a separate field.
 """
 
 import enum
@@ -19,15 +19,15 @@
 
 
 class PeerNews(msgspec.Struct, frozen=True, tag="news"):
-    """What one router tells others, which is also its sign of life.
-
-    ``revisions`` maps a prefix of the store to the number of the newest change known below it;
-    ``eras`` are the histories of these, in the same order. Builds before the histories name none.
-    ``reaches_store`` tells whether the store answers this router, ``leads`` whether it follows
-    the store for its failure domain, and ``listed`` how many routers this one knows, 0 where it
-    has not read the store's list. ``replaced`` are starts of listed replicas at whose addresses
-    others answer. ``restored`` is the history of the store, of those that it names, that holds all
-    which this router knows of accounts' documents.
+    """The status message that a router sends periodically, and by which others see it as alive.
+
+    ``revisions`` maps each prefix of the store to the number of the newest known change below it,
+    and ``eras`` holds the eras of these numbers in the same order. Builds that predate eras send
+    none. ``reaches_store`` is whether the store answers this router, ``leads`` whether it leads
+    its failure domain, and ``listed`` the number of routers that it is aware of, 0 if it has not
+    read the store's list. ``replaced`` are incarnations of listed replicas at whose addresses
+    other replicas respond. ``restored`` is the era of the store, of those in ``eras``, that
+    contains all account documents that this router knows.
     """
 
     member: Member
@@ -41,15 +41,15 @@
 
     @property
     def newest_revisions(self) -> dict[str, int]:
-        """The revision of the newest change below each prefix of which the history is named."""
+        """The revision of the newest change below each prefix that comes with an era."""
         named = zip(self.revisions.items(), self.eras, strict=False)
         return {prefix: make_revision(era, number) for (prefix, number), era in named}
 
 
 class ChangedItem(msgspec.Struct, frozen=True, array_like=True):
-    """An item of the store as it was written; without a ``value`` it was removed.
+    """A written item of the store, or a removed one if ``value`` is None.
 
-    ``revision`` is its number in the history that the message names.
+    ``revision`` is its change number in the era that the message names.
     """
 
     key: str
@@ -58,10 +58,11 @@
 
 
 class MirrorChanges(msgspec.Struct, frozen=True, tag="changes"):
-    """What has changed below a prefix of the store, told to routers that do not watch it.
+    """The changes below a prefix of the store, for routers that do not watch it themselves.
 
-    It is complete for whoever knows all up to the revision ``after``, and leads to ``revision``:
-    numbers in the history ``era``, which builds before the histories do not name.
+    A receiver that is up to date at the revision ``after`` is up to date at ``revision`` once it
+    has applied the changes. Both are change numbers in ``era``; builds that predate eras do not
+    send it.
     """
 
     prefix: str
@@ -72,11 +73,11 @@
 
     @property
     def base_revision(self) -> int:
-        """The revision up to which all has to be known before."""
+        """The revision that a receiver must have reached before it applies the changes."""
         return make_revision(self.era, self.after)
 
     def changes(self) -> Changes:
-        """Return what has changed."""
+        """Return the changes, with revisions in the message's era."""
         written = tuple(
             StoreItem(each.key, each.value, make_revision(self.era, each.revision))
             for each in self.items
@@ -91,7 +92,7 @@
 
 
 def changed_items(changes: Changes) -> list[ChangedItem]:
-    """Return changes of one history as a message holds them, in their order."""
+    """Return changes of one era in the form of a message, ordered by revision."""
     items = [
         *(ChangedItem(each.key, number_of(each.revision), each.value) for each in changes.written),
         *(ChangedItem(each.key, number_of(each.revision)) for each in changes.removed),
@@ -100,7 +101,7 @@
 
 
 class PlacementScope(enum.Enum):
-    """Who tells of placements: a router its leader, a leader the others, or its domain."""
+    """The route of placements: router to leader, leader to other leaders, leader to its domain."""
 
     ROUTER = "router"
     LEADER = "leader"
@@ -108,10 +109,11 @@
 
 
 class PlacedRequest(msgspec.Struct, frozen=True, array_like=True):
-    """A request that was sent to a start of a replica, ``replica``, just now.
+    """A request that was just sent to the incarnation ``replica`` of a replica.
 
-    ``tokens`` of its prompt are probably to be read there, and its first token is expected after
-    ``expected_ms``. ``parts`` are the shared parts of its prompt, which the replica then holds.
+    ``tokens`` is the number of prompt tokens that the replica probably has to process, and
+    ``expected_ms`` the expected time to the first token. ``parts`` are the shared prompt segments,
+    which the replica then holds.
     """
 
     replica: str
@@ -121,24 +123,24 @@
 
 
 class Placements(msgspec.Struct, frozen=True, tag="placements"):
-    """Requests that routers sent to replicas, by the name of the router."""
+    """Requests that routers sent to replicas, by router name."""
 
     scope: PlacementScope
     requests: dict[str, list[PlacedRequest]]
 
 
 class LostRun(msgspec.Struct, frozen=True, array_like=True):
-    """A run of a replica lost the request with the id ``content``."""
+    """The request with the fingerprint ``content`` was lost by the run ``run`` of a replica."""
 
     content: str
     run: str
 
 
 class CrashNotice(msgspec.Struct, frozen=True, tag="crashes"):
-    """What a router knows of requests under which replicas ended.
+    """What a router observed of requests that may crash replicas.
 
-    ``lost`` are requests that runs of replicas lost, ``ended`` the runs that have ended, and
-    ``cleared`` requests that were answered in whole.
+    ``lost`` are requests that runs of replicas lost, ``ended`` the runs that have terminated, and
+    ``cleared`` the fingerprints of requests that were answered completely.
     """
 
     lost: list[LostRun] = []
@@ -147,9 +149,9 @@
 
 
 class LimitWord(msgspec.Struct, frozen=True, array_like=True):
-    """What a start of a replica, ``replica``, says of its limit, under the number of that word.
+    """The limit that the incarnation ``replica`` of a replica stated; higher numbers are newer.
 
-    It takes ``per_second`` requests from all routers together, None for as many as come.
+    It accepts ``per_second`` requests from all routers together; None means no limit.
     """
 
     replica: str
@@ -158,16 +160,16 @@
 
 
 class LimitNotice(msgspec.Struct, frozen=True, tag="limits"):
-    """What a router knows of the limits that replicas name in their answers."""
+    """The limits that replicas stated in their responses, as a router knows them."""
 
     words: list[LimitWord] = []
 
 
 class PermitRequest(msgspec.Struct, frozen=True, tag="permit"):
-    """A session asks for a permit to send one request to any one of some limited replicas.
+    """Asks for a permit to send one request to one of several rate-limited replicas.
 
-    ``words`` is what it knows of their limits, those that it prefers first. The permit may be ready
-    ``most_wait_ms`` later.
+    ``words`` are the limits of these replicas as the session knows them, in order of preference.
+    The permit may become valid at most ``most_wait_ms`` later.
     """
 
     number: int
@@ -177,17 +179,17 @@
 
 
 class ReadyPermit(msgspec.Struct, frozen=True, array_like=True):
-    """In how many ms the next permit for a start of a replica is ready; -1 for not known."""
+    """Time in ms until the next permit for an incarnation of a replica; -1 if unknown."""
 
     replica: str
     ready_ms: int
 
 
 class PermitReply(msgspec.Struct, frozen=True, tag="permit-reply"):
-    """The answer to the permit request ``number``: a permit for ``replica``, empty for none.
+    """The reply to the permit request ``number``: a permit for ``replica``, empty if refused.
 
-    It is ready after ``wait_ms``, and lapses ``valid_ms`` later. ``ready`` tells of the replicas
-    for which there is none.
+    The permit becomes valid after ``wait_ms``, and expires ``valid_ms`` later. ``ready`` lists the
+    requested replicas for which no permit was free.
     """
 
     number: int
@@ -199,7 +201,7 @@
 
 
 class PermitUse(msgspec.Struct, frozen=True, tag="permit-use"):
-    """What became of the permit of the request ``number``: whether its request was sent."""
+    """Reports whether a request was sent with the permit of the permit request ``number``."""
 
     number: int
     session: str
@@ -207,9 +209,9 @@
 
 
 class CeilingNotice(msgspec.Struct, frozen=True, tag="ceilings"):
-    """A session tells its witness the most that it will use, in tokens by account.
+    """Reports the maximum use of a session, in tokens by account, to its witness.
 
-    ``witness`` is the session that is meant; a later life of the same router does not stand in.
+    ``witness`` is the addressed session; a later session of the same router does not accept it.
     """
 
     number: int
@@ -219,7 +221,7 @@
 
 
 class CeilingReply(msgspec.Struct, frozen=True, tag="ceilings-reply"):
-    """A witness's answer to the notice ``number``: whether it was accepted."""
+    """A witness's reply to the ceiling notice ``number``: whether it was accepted."""
 
     number: int
     session: str
@@ -228,9 +230,9 @@
 
 
 class Grant(msgspec.Struct, frozen=True, array_like=True):
-    """The store allows a session ``allowance`` tokens of an account, as of ``revision``.
+    """A grant of the store to a session: ``allowance`` tokens of an account as of ``revision``.
 
-    ``witness`` is the session that witnesses it, empty where none does.
+    ``witness`` is the session that witnesses the session's use, empty if there is none.
     """
 
     account: str
@@ -241,16 +243,17 @@
 
 
 class GrantNotice(msgspec.Struct, frozen=True, tag="grants"):
-    """What the store has just granted, told to some who remember it if the store does not."""
+    """New grants of the store, sent to routers that keep copies in case the store loses them."""
 
     grants: list[Grant]
 
 
 class LoanRequest(msgspec.Struct, frozen=True, tag="loan"):
-    """A session asks for ``needed`` tokens of an account or none, and up to ``extra`` more.
+    """Asks for exactly ``needed`` tokens of an account or none, and up to ``extra`` more.
 
-    With ``held_only`` it asks for what the lender holds unused, and not to draw from the store.
-    With ``repeats`` it asks only what became of this request, which may have been served.
+    With ``held_only``, the lender may only lend tokens that it holds unused, and draws none from
+    the store. With ``repeats``, it only asks for the outcome of this request, which may have been
+    served before.
     """
 
     number: int
@@ -266,10 +269,10 @@
 
 
 class LoanReply(msgspec.Struct, frozen=True, tag="loan-reply"):
-    """How many tokens the loan request ``number`` gets; the lender never uses them itself.
+    """The reply to the loan request ``number``: ``given`` tokens, which the lender gives up.
 
-    ``refused`` is the code of the reason where it gets none, or ``PENDING`` where that is not
-    decided yet. ``scarce`` asks the borrower to keep no tokens that it does not need.
+    If none are given, ``refused`` is the code of the reason, or ``PENDING`` while it is undecided.
+    ``scarce`` asks the borrower to keep no tokens that it does not need.
     """
 
     number: int
@@ -281,9 +284,9 @@
 
 
 class Repayment(msgspec.Struct, frozen=True, tag="repayment"):
-    """A session gives tokens to the session ``lender``, and uses them no more.
+    """Transfers tokens from a session, which gives them up, to the session ``lender``.
 
-    Numbers of one session to one lender rise; a repeated one counts once.
+    Numbers increase from one session to one lender, so that a repeated message counts once.
     """
 
     number: int
@@ -294,7 +297,7 @@
 
 
 class RepaymentReply(msgspec.Struct, frozen=True, tag="repayment-reply"):
-    """The repayment ``number`` has arrived."""
+    """Confirms that the repayment ``number`` has been credited."""
 
     number: int
     session: str
--- a/src/aspengate/peers/_notices.py
+++ b/src/aspengate/peers/_notices.py
@@ -1,4 +1,4 @@
-"""Routers tell all others of something rare, several times since a message may get lost."""
+"""Broadcasts of rare events to all other routers, repeated because datagrams may get lost."""
 
 import threading
 from collections.abc import Callable, Iterable
@@ -8,11 +8,12 @@
 from aspengate.peers._messages import CrashNotice, LimitNotice, LimitWord, LostRun
 from aspengate.telemetry import Counters, lasting_thread
 
-# When a notice is sent, in ms after it was made. At once, since its router may end as well: peers
-# have it within some ms. Again, since a datagram may get lost.
-_SEND_MS = (0.0, 300.0, 1_000.0)
-# What one message holds at most, of some 60 bytes each, for a datagram of 64 KB.
-_MOST_TOGETHER = 400
+# Delays in ms after which a notice is sent. The first copy is sent at once, since this router may
+# crash as well: its peers then have the notice within some ms. The others replace lost datagrams.
+_SEND_DELAYS_MS = (0.0, 300.0, 1_000.0)
+# Maximum number of entries per list of a message: with about 60 bytes each, it fits into a datagram
+# of 64 KB.
+_MAX_ENTRIES = 400
 
 _Notice = TypeVar("_Notice", CrashNotice, LimitNotice)
 
@@ -20,11 +21,11 @@
 class NoticeExchange(Generic[_Notice]):
     """Sends each notice to all other routers, several times, on a thread of its own.
 
-    All are told by the router itself, not by way of leaders: what is told is rare, and a router
-    that waited for another one to pass it on would take what it knows with it where both end.
+    Notices go to all routers directly and not through leaders. They are rare, so that this is
+    cheap, and a notice that only a leader has received would be lost if both routers crashed.
 
-    ``merge`` makes messages of bounded size that say what several notices do. Messages are sent
-    ``least_gap_ms`` apart at least.
+    ``merge`` combines notices into messages of limited size. ``min_interval_ms`` is the minimum
+    time between two batches of messages.
     """
 
     def __init__(
@@ -41,37 +42,37 @@
         self._clock = clock
         self._send = send
         self._addresses = addresses
-        self._least_gap_s = min_interval_ms / 1_000
+        self._min_interval_s = min_interval_ms / 1_000
         self._due: list[tuple[float, _Notice]] = []
         self._lock = threading.Lock()
-        self._some = threading.Event()
+        self._wakeup = threading.Event()
         self._closing = threading.Event()
         self._thread = lasting_thread(self._run, name, counters)
 
     def start(self) -> None:
-        """Begin to tell."""
+        """Start to send notices."""
         self._thread.start()
 
     def close(self) -> None:
-        """Stop."""
+        """Stop sending; notices that are still due are dropped."""
         self._closing.set()
-        self._some.set()
+        self._wakeup.set()
 
     def announce(self, notice: _Notice) -> None:
-        """Tell all other routers."""
+        """Queue a notice for all other routers."""
         now = self._clock.monotonic_ms()
         with self._lock:
-            self._due += [(now + after_ms, notice) for after_ms in _SEND_MS]
-        self._some.set()
+            self._due += [(now + after_ms, notice) for after_ms in _SEND_DELAYS_MS]
+        self._wakeup.set()
 
     def _run(self) -> None:
         while not self._closing.is_set():
             pause_ms = self._send_due()
-            self._some.wait(None if pause_ms is None else pause_ms / 1_000)
-            self._some.clear()
+            self._wakeup.wait(None if pause_ms is None else pause_ms / 1_000)
+            self._wakeup.clear()
 
     def _send_due(self) -> float | None:
-        """Send what is due; return after how many ms more is, None where nothing waits."""
+        """Send the due notices; return the time in ms until more are due, None if none wait."""
         now = self._clock.monotonic_ms()
         with self._lock:
             due = [notice for due_ms, notice in self._due if due_ms <= now]
@@ -80,12 +81,12 @@
         for message in self._merge(due):
             self._send(message, *self._addresses())
         if due:
-            self._closing.wait(self._least_gap_s)
+            self._closing.wait(self._min_interval_s)
         return None if next_ms is None else max(0.0, next_ms - self._clock.monotonic_ms())
 
 
 def merge_crashes(notices: Iterable[CrashNotice]) -> list[CrashNotice]:
-    """Return messages that say which requests replicas ended under."""
+    """Return messages that contain each entry of the notices once."""
     lost: dict[LostRun, None] = {}
     ended: dict[str, None] = {}
     cleared: dict[str, None] = {}
@@ -93,19 +94,19 @@
         lost.update(dict.fromkeys(notice.lost))
         ended.update(dict.fromkeys(notice.ended))
         cleared.update(dict.fromkeys(notice.cleared))
-    most = max(len(lost), len(ended), len(cleared))
+    longest = max(len(lost), len(ended), len(cleared))
     return [
         CrashNotice(
-            list(lost)[first : first + _MOST_TOGETHER],
-            list(ended)[first : first + _MOST_TOGETHER],
-            list(cleared)[first : first + _MOST_TOGETHER],
+            list(lost)[first : first + _MAX_ENTRIES],
+            list(ended)[first : first + _MAX_ENTRIES],
+            list(cleared)[first : first + _MAX_ENTRIES],
         )
-        for first in range(0, most, _MOST_TOGETHER)
+        for first in range(0, longest, _MAX_ENTRIES)
     ]
 
 
 def merge_limits(notices: Iterable[LimitNotice]) -> list[LimitNotice]:
-    """Return messages with the newest word on the limit of each start of a replica."""
+    """Return messages with the newest limit of each incarnation of a replica."""
     newest: dict[str, LimitWord] = {}
     for notice in notices:
         for word in notice.words:
@@ -113,6 +114,6 @@
                 newest[word.replica] = word
     words = list(newest.values())
     return [
-        LimitNotice(words[first : first + _MOST_TOGETHER])
-        for first in range(0, len(words), _MOST_TOGETHER)
+        LimitNotice(words[first : first + _MAX_ENTRIES])
+        for first in range(0, len(words), _MAX_ENTRIES)
     ]
--- a/src/aspengate/peers/_placements.py
+++ b/src/aspengate/peers/_placements.py
@@ -1,4 +1,4 @@
-"""Routers tell each other which requests they sent to which replica, by way of the leaders."""
+"""Exchange of placements, the requests that routers sent to replicas, through the leaders."""
 
 import threading
 from collections import defaultdict
@@ -10,33 +10,34 @@
 from aspengate.peers._messages import PlacedRequest, Placements, PlacementScope
 from aspengate.telemetry import Counters, lasting_thread
 
-# How long placements are gathered before they are told, in s. They pass two or three routers, so
-# that all know them after 100 ms, a fifth of a usual first token.
-_GATHER_S = 0.04
-# Leaders that were heard within this time, in ms, are told.
-_LEADER_MS = 1_000.0
-# What one message holds at most: of one router 50, which is 1,250 requests a second, and of all
-# together twice 400, of about 60 bytes each, for a datagram of 64 KB. What is more is dropped and
-# counted: a choice is worse for it, and nothing else.
-_MOST_TOLD = 50
-_MOST_TOGETHER = 400
+# Time in s for which placements are collected before they are sent. They pass through two or three
+# routers, so that all routers have them after 100 ms, a fifth of a usual time to first token.
+_BATCH_INTERVAL_S = 0.04
+# Maximum age in ms of the last status message of a leader to which placements are sent.
+_LEADER_TIMEOUT_MS = 1_000.0
+# Limits on one batch: placements of one router, where 50 allow for 1,250 requests per second, and
+# placements in each of the two queues. With about 60 bytes each, a message with both queues fits
+# into a datagram of 64 KB. Excess placements are dropped and counted, which only makes the choice
+# of a replica less accurate.
+_MAX_PER_ROUTER = 50
+_MAX_PER_QUEUE = 400
 
 OnPlaced = Callable[[PlacedRequest], None]
 
 
 class PlacementSink(Protocol):
-    """Who is told of requests that this router sent to replicas."""
+    """Interface of a receiver of the requests that this router sends to replicas."""
 
     def record_sent(self, placed: PlacedRequest) -> None:
-        """Take a request that was just sent."""
+        """Record a request that was just sent."""
 
 
 class PlacementExchange:
-    """Tells the other routers of this one's requests, and hears of theirs.
+    """Sends this router's placements to the other routers, and receives theirs.
 
-    A router tells the leader of its failure domain; leaders tell each other and the routers of
-    their domains. ``send`` sends a message to addresses; ``on_placed`` is called with each request
-    of another router.
+    A router sends its placements to the leader of its failure domain; leaders forward them to each
+    other and to the routers of their domains. ``send`` sends a message to addresses; ``on_placed``
+    is called with each request of another router.
     """
 
     def __init__(
@@ -52,58 +53,58 @@
         self._counters = counters
         self._send = send
         self._on_placed = on_placed
-        self._near: dict[str, list[PlacedRequest]] = defaultdict(list)
-        self._far: dict[str, list[PlacedRequest]] = defaultdict(list)
+        self._domain_queue: dict[str, list[PlacedRequest]] = defaultdict(list)
+        self._remote_queue: dict[str, list[PlacedRequest]] = defaultdict(list)
         self._lock = threading.Lock()
-        self._some = threading.Event()
+        self._wakeup = threading.Event()
         self._closing = threading.Event()
         self._thread = lasting_thread(self._run, "placements", counters)
 
     def start(self) -> None:
-        """Begin to tell."""
+        """Start to send batches."""
         self._thread.start()
 
     def close(self) -> None:
-        """Stop."""
+        """Stop; collected placements are dropped."""
         self._closing.set()
-        self._some.set()
+        self._wakeup.set()
 
     def record_sent(self, placed: PlacedRequest) -> None:
-        """Take a request that this router has just sent."""
-        self._keep(self._near, self._members.own.name, [placed])
+        """Record a request that this router has just sent."""
+        self._enqueue(self._domain_queue, self._members.own.name, [placed])
 
     def handle_placements(self, message: Placements) -> None:
-        """Take what another router tells; a leader passes it on."""
+        """Process placements of other routers; a leader also queues them to be forwarded."""
         for origin, requests in message.requests.items():
             if origin == self._members.own.name:
                 continue
             for placed in requests:
                 self._on_placed(placed)
             if self._members.leads and message.scope is PlacementScope.ROUTER:
-                self._keep(self._near, origin, requests)
+                self._enqueue(self._domain_queue, origin, requests)
             elif self._members.leads and message.scope is PlacementScope.LEADER:
-                self._keep(self._far, origin, requests)
+                self._enqueue(self._remote_queue, origin, requests)
 
     def flush(self) -> None:
-        """Tell what was gathered."""
+        """Send the collected placements."""
         with self._lock:
-            near, self._near = self._near, defaultdict(list)
-            far, self._far = self._far, defaultdict(list)
+            local, self._domain_queue = self._domain_queue, defaultdict(list)
+            remote, self._remote_queue = self._remote_queue, defaultdict(list)
         if not self._members.leads:
             leader = self._leadership.leader
-            if near and leader is not None:
-                self._tell(near, PlacementScope.ROUTER, [leader])
+            if local and leader is not None:
+                self._send_batch(local, PlacementScope.ROUTER, [leader])
             return
-        if near or far:
+        if local or remote:
             domain = self._members.own.failure_domain
-            signs = self._members.recent_statuses(_LEADER_MS)
-            others = [sign.member for sign in signs if sign.leads]
-            self._tell(
-                near, PlacementScope.LEADER, [m for m in others if m.failure_domain != domain]
+            statuses = self._members.recent_statuses(_LEADER_TIMEOUT_MS)
+            others = [status.member for status in statuses if status.leads]
+            self._send_batch(
+                local, PlacementScope.LEADER, [m for m in others if m.failure_domain != domain]
             )
-            self._tell({**far, **near}, PlacementScope.DOMAIN, self._members.in_domain())
+            self._send_batch({**remote, **local}, PlacementScope.DOMAIN, self._members.in_domain())
 
-    def _tell(
+    def _send_batch(
         self,
         requests: dict[str, list[PlacedRequest]],
         scope: PlacementScope,
@@ -113,26 +114,26 @@
         if requests and addresses:
             self._send(Placements(scope, requests), *addresses)
 
-    def _keep(
+    def _enqueue(
         self,
-        gathered: dict[str, list[PlacedRequest]],
+        queue: dict[str, list[PlacedRequest]],
         origin: str,
         requests: Iterable[PlacedRequest],
     ) -> None:
         with self._lock:
-            kept = gathered[origin]
-            room = _MOST_TOGETHER - sum(len(each) for each in gathered.values()) + len(kept)
+            queued = queue[origin]
+            limit = _MAX_PER_QUEUE - sum(len(each) for each in queue.values()) + len(queued)
             for placed in requests:
-                if len(kept) < min(_MOST_TOLD, room):
-                    kept.append(placed)
+                if len(queued) < min(_MAX_PER_ROUTER, limit):
+                    queued.append(placed)
                 else:
                     self._counters.count("placements.dropped")
-        self._some.set()
+        self._wakeup.set()
 
     def _run(self) -> None:
         while True:
-            self._some.wait()
-            if self._closing.wait(_GATHER_S):
+            self._wakeup.wait()
+            if self._closing.wait(_BATCH_INTERVAL_S):
                 return
-            self._some.clear()
+            self._wakeup.clear()
             self.flush()
