--- a/features/steps/mirror_changes_steps.py
+++ b/features/steps/mirror_changes_steps.py
@@ -61,7 +61,7 @@
         super().__init__(100)
         self.application = application
 
-    def _get(self, address, target, method="GET"):
+    def _request(self, address, target, method="GET"):
         path, _, query = target.partition("?")
         environ = {"PATH_INFO": path, "QUERY_STRING": query}
         body = b"".join(self.application(environ, lambda *_: None))
@@ -111,7 +111,7 @@
 def second_requests_changes(context):
     client = DirectClient(PeerApplication({PREFIX: context.first}, None))
     context.since = context.second.state.revision
-    context.response = client.mirror("10.0.0.1:1", PREFIX, context.since)
+    context.response = client.fetch_mirror("10.0.0.1:1", PREFIX, context.since)
     context.response_bytes = client.response_bytes
 
 
@@ -141,7 +141,7 @@
 
 
 def apply_message(mirror, message):
-    return mirror.apply_changes(message.known_before, message.changes())
+    return mirror.apply_changes(message.base_revision, message.changes())
 
 
 @then("every message fits into a datagram, and the second one has the same list")
--- a/src/aspengate/gateway/_peer_services.py
+++ b/src/aspengate/gateway/_peer_services.py
@@ -56,11 +56,13 @@
         self._clock = clock
         self._tokens = tokens
 
-    def take_loan_request(self, request: LoanRequest, answer: Callable[[LoanReply], None]) -> None:
+    def handle_loan_request(
+        self, request: LoanRequest, answer: Callable[[LoanReply], None]
+    ) -> None:
         """Lend tokens to another router; pass the reply to ``answer`` once it is decided."""
         self._tokens().handle_loan_request(request, answer)
 
-    def take_repayment(self, payment: Repayment) -> bool:
+    def handle_repayment(self, payment: Repayment) -> bool:
         """Take tokens back from another router; return whether the repayment is settled."""
         return self._tokens().handle_repayment(payment)
 
@@ -73,11 +75,11 @@
         """Stop witnessing a session; return its ceilings by account, or None if unknown."""
         return self._tokens().close_witnessed(session)
 
-    def take_grants(self, notice: GrantNotice) -> None:
+    def handle_grants(self, notice: GrantNotice) -> None:
         """Record the allowances that the store granted to another router's session."""
         self._tokens().handle_grants(notice.grants)
 
-    def take_placed(self, placed: PlacedRequest) -> None:
+    def handle_placed_request(self, placed: PlacedRequest) -> None:
         """Record a request that another router has sent to a replica."""
         now = self._clock.monotonic_ms()
         view = self._registry.view_of_incarnation(placed.replica)
@@ -88,7 +90,7 @@
         for part in placed.parts:
             self._parts.record_sent(part, view.identity, now)
 
-    def take_crashes(self, notice: CrashNotice) -> None:
+    def handle_crash_notice(self, notice: CrashNotice) -> None:
         """Record crashes that another router has detected."""
         self._crashes.handle_notice(notice)
 
@@ -96,10 +98,12 @@
         """Return a notice of recent crashes for a router that has just started, or None."""
         return self._crashes.recent_crashes()
 
-    def take_limits(self, notice: LimitNotice, told_by: str) -> None:
+    def handle_limit_notice(self, notice: LimitNotice, reported_by: str) -> None:
         """Record the rate limits of replicas that another router reports."""
         for word in notice.words:
-            self._registry.record_peer_limit(word.replica, word.number, word.per_second, told_by)
+            self._registry.record_peer_limit(
+                word.replica, word.number, word.per_second, reported_by
+            )
 
     def known_limits(self) -> LimitNotice | None:
         """Return a notice of rate limits for a router that has just started, or None."""
@@ -107,7 +111,9 @@
         words = [LimitWord(life, each.number, each.per_second) for life, each in limits.items()]
         return LimitNotice(words) if words else None
 
-    def take_permit_request(self, request: PermitRequest) -> tuple[PermitReply, LimitNotice | None]:
+    def handle_permit_request(
+        self, request: PermitRequest
+    ) -> tuple[PermitReply, LimitNotice | None]:
         """Grant a permit if available; return the reply and a notice of newer limits or None."""
         views = []
         newer = []
@@ -141,6 +147,6 @@
             ready.append(ReadyPermit(view.incarnation, -1 if in_ms is None else math.ceil(in_ms)))
         return PermitReply(request.number, request.session, ready=ready)
 
-    def take_permit_use(self, use: PermitUse) -> None:
+    def handle_permit_use(self, use: PermitUse) -> None:
         """Record whether another router used the permit that it was granted."""
         self._bounds.limiter.permits.settle_grant((use.session, use.number), sent=use.sent)
--- a/src/aspengate/gateway/_selection.py
+++ b/src/aspengate/gateway/_selection.py
@@ -86,7 +86,7 @@
         for segment, _ in prompt.shared:
             self.chooser.segments.record_sent(segment, candidate.view.identity, now)
         if prompt.tokens or service.cold_per_second:
-            self.placements.note(_placed_request(candidate, prompt))
+            self.placements.record_sent(_placed_request(candidate, prompt))
         return candidate, permit
 
     def no_replica_error(self, service: str) -> AspengateError:
