--- a/features/crashes.feature
+++ b/features/crashes.feature
@@ -22,9 +22,9 @@
     Then two have the same fingerprint if and only if all of these are equal
 
   # One request crashed every replica that started it, 20 within 40 s, while its caller repeated it
-  # to any router. Failures were tracked by replica, so each repetition counted as a new request.
-  # With four routers and four requests a second, 73 of 82 reached a replica later than 2 s after
-  # the third crash; three are allowed.
+  # to any router. Failures were tracked by replica and each repetition counted as a new request, so
+  # the ninth send was not connected with the first three. With four routers and four requests a
+  # second, 73 of 82 reached a replica later than 2 s after the third crash; three are allowed.
   Scenario: A request that has crashed three replicas is stopped on all routers
     Given four gateways before six replicas of each service, which are replaced after a crash
     When a receipt that crashes them is requested four times a second, and nothing else fails
@@ -45,14 +45,14 @@
 
   Scenario Outline: Other kinds of requests are stopped as well, even if routers are killed
     Given four gateways before six replicas of each service, which are replaced after a crash
-    When <request> that crashes them is requested four times a second, and <trouble>
+    When <request> that crashes them is requested four times a second, and <failure>
     Then at most three of its requests reach a replica later than 2 s after the third crash
     And the requests of other callers are answered from then on
 
     Examples:
-      | request                      | trouble                                        |
+      | request                      | failure                                          |
       | a receipt                    | the gateway that sent it is killed at each crash |
-      | a non-idempotent status call | nothing else fails                           |
+      | a non-idempotent status call | nothing else fails                               |
       | a resumable stream           | all gateways are killed after the third crash    |
 
   Scenario: A popular request is served again soon after all its replicas terminated at once
--- a/features/steps/crash_records_steps.py
+++ b/features/steps/crash_records_steps.py
@@ -287,7 +287,7 @@
 
 
 def verdicts(simulation):
-    """Return how many routers send, try or refuse the request now."""
+    """Return how many routers send the request, run a trial or refuse it now."""
     found = Counter()
     for router in simulation.routers:
         router.load_records()
--- a/features/steps/crashes_steps.py
+++ b/features/steps/crashes_steps.py
@@ -76,15 +76,15 @@
 def one_log_line(context):
     ended = [replica for replica in context.fleet.of("portal") if replica.gone]
     found = eventually(lambda: context.router.find_all("replica.ended"))
-    contents = [
+    fingerprints = [
         request_fingerprint("board", f"/receipt/{name}", b"") for name in ("ending", "lost")
     ]
-    told = [(line["replica"], line["content"]) for line in found]
-    assert told == [(ended[0].identity, contents[0])], told
+    logged = [(line["replica"], line["content"]) for line in found]
+    assert logged == [(ended[0].identity, fingerprints[0])], logged
     ends = eventually(lambda: len(context.router.find_all("request.ended")) == 2)
     assert ends, context.router.lines
     lines = context.router.find_all("request.ended")
-    assert [line["content"] for line in lines] == contents, lines
+    assert [line["content"] for line in lines] == fingerprints, lines
 
 
 @when("a receipt has crashed three of them and is requested once more")
@@ -101,11 +101,11 @@
     assert len(ended) == 3, ended
     ends = eventually(lambda: len(found := context.router.find_all("request.ended")) == 4 and found)
     lines = [json.dumps(line) for line in context.router.lines]
-    told = read_lines("router-1", lines)
-    story = "\n".join(tell_story(ends[-1]["request_id"], told).lines())
-    cause = cause_of(ends[-1]["request_id"], told)
+    log = read_lines("router-1", lines)
+    trace = "\n".join(tell_story(ends[-1]["request_id"], log).lines())
+    cause = cause_of(ends[-1]["request_id"], log)
     for identity in ended:
-        assert f"replica.ended  replica={identity}" in story, story
+        assert f"replica.ended  replica={identity}" in trace, trace
         assert f"{identity} " in cause and "as router-1 saw" in cause, cause
 
 
@@ -153,9 +153,9 @@
         self.on_crash_counted = lambda: None
         context.cleanup.callback(self.closing.set)
         for replica in list(self.fleet.replicas):
-            self.watch(replica)
+            self.arm(replica)
 
-    def watch(self, replica):
+    def arm(self, replica):
         replica.crash_on = "ending"
         replica.on_crash = self.record_crash
 
@@ -169,7 +169,7 @@
         """Start another replica, and unlist the crashed one later."""
         if not self.closing.wait(REPLACEMENT_S):
             with self.lock:
-                self.watch(self.fleet.add_replica(replica.service))
+                self.arm(self.fleet.add_replica(replica.service))
         if not self.closing.wait(REPLACEMENT_S):
             replica.unlist()
 
@@ -187,8 +187,8 @@
             if router not in self.fleet.routers:
                 return
             router.kill()
-            again = self.fleet.start_again(router, ready=False)
-        if eventually(again.is_ready):
+            restarted = self.fleet.start_again(router, ready=False)
+        if eventually(restarted.is_ready):
             self.restarted_s = max(self.restarted_s, time.monotonic())
 
 
@@ -197,12 +197,12 @@
     context.crashing = CrashingFleet(context)
 
 
-@when("{request} that crashes them is requested four times a second, and {trouble}")
-def request_crashes(context, request, trouble):
+@when("{request} that crashes them is requested four times a second, and {failure}")
+def request_crashes(context, request, failure):
     crashing = context.crashing
     context.target, fields = CRASHING_REQUESTS[request]
     context.other_requests = []
-    arrange_failures(crashing, trouble)
+    arrange_failures(crashing, failure)
     other_requests = threading.Thread(target=send_other_requests, args=(context,), daemon=True)
     other_requests.start()
     last = time.monotonic() + TIMEOUT_S
@@ -225,7 +225,7 @@
     assert len(crashing.crash_times) >= CRASHES, crashing.crash_times
 
 
-def arrange_failures(crashing, trouble):
+def arrange_failures(crashing, failure):
     routers = crashing.fleet.routers
 
     def kill_all():
@@ -237,9 +237,9 @@
         """Kill the gateway about 20 ms after the crash, which it may just have detected."""
         threading.Timer(0.02, crashing.kill, (crashing.sender,)).start()
 
-    if trouble.startswith("all"):
+    if failure.startswith("all"):
         crashing.on_crash_counted = kill_all
-    elif trouble.startswith("the gateway"):
+    elif failure.startswith("the gateway"):
         crashing.on_crash_counted = kill_sender
 
 
@@ -318,8 +318,10 @@
     crashing = context.crashing
     ended = {replica.identity for replica in crashing.fleet.of("portal") if replica.gone}
     assert len(ended) >= 12, ended
-    told = [line for router in crashing.fleet.routers for line in router.find_all("replica.ended")]
-    assert told, "no request was there when its replica ended"
+    crashes = [
+        line for router in crashing.fleet.routers for line in router.find_all("replica.ended")
+    ]
+    assert crashes, "no request was in progress when its replica terminated"
 
     def all_answer():
         return all(
