--- a/features/foreign_entries.feature
+++ b/features/foreign_entries.feature
@@ -5,7 +5,7 @@
   # and the router heard of no replica again. Of 25 others 13 were listed as ready, among them ones
   # without slots or state, with port 99999, -1 slots, or cold for 1e300 ms.
   Scenario: A gateway passes over what it can't use, and goes on hearing of replicas
-    Given a gateway before one replica of each service
+    Given a gateway with one replica per service
     When entries of other writers come into the list of replicas
     Then none of them is listed, and a replica that comes later is
 
@@ -19,7 +19,7 @@
     Then the owner gets the second one, and a line tells of the fault
 
   Scenario: A good entry that another writer spoils takes its replica out
-    Given a gateway before two replicas of each service
+    Given a gateway with two replicas per service
     When another writer overwrites the entry of one of them
     Then that one gets nothing more, and one line tells of the entry
 
--- a/features/gateway_answers.feature
+++ b/features/gateway_answers.feature
@@ -1,11 +1,11 @@
-Feature: A caller gets whole answers of its own, whatever a replica sends
+Feature: Callers receive only complete responses to their own requests, whatever replicas send
 
-  Scenario Outline: A broken answer to a call that may not be repeated is a clear failure
-    Given a gateway before one replica of each service
-    When a status is asked for and the replica's answer is "<behaviour>"
-    Then the caller gets a whole answer <status> without a replica's signature
-    And the replica ran it once
-    And the next status is answered as the replica answers it
+  Scenario Outline: A broken response to a non-repeatable call results in an explicit error
+    Given a gateway with one replica per service
+    When a status is requested and the replica's response is "<behaviour>"
+    Then the caller receives a complete response <status> without a replica's signature
+    And the replica ran the request once
+    And the next status request receives the replica's response unchanged
 
     Examples:
       | behaviour        | status |
@@ -20,10 +20,10 @@
       | two lengths      | 502    |
       | bad chunk        | 502    |
 
-  Scenario Outline: A broken answer to a call that may be repeated is had from another replica
-    Given a gateway before two replicas of each service
-    When a receipt is asked for and the first replica's answer is "<behaviour>"
-    Then the caller gets the other replica's whole answer
+  Scenario Outline: A repeatable call with a broken response is retried at another replica
+    Given a gateway with two replicas per service
+    When a receipt is requested and the first replica's response is "<behaviour>"
+    Then the caller receives the other replica's complete response
 
     Examples:
       | behaviour        |
@@ -39,33 +39,33 @@
       | refuse           |
       | another's answer |
 
-  Scenario Outline: Surplus answers never reach a caller
-    Given a gateway before one replica of each service
-    When 40 different receipts are asked for while the replica's answers are "<behaviour>"
-    Then each caller gets the answer to its own request
+  Scenario Outline: Surplus responses never reach a caller
+    Given a gateway with one replica per service
+    When 40 different receipts are requested while the replica's responses are "<behaviour>"
+    Then each caller receives the response to its own request
 
     Examples:
       | behaviour    |
       | surplus      |
       | late surplus |
 
-  Scenario: An answer without a length is whole when its connection ends in order
-    Given a gateway before one replica of each service
-    When a status is asked for and the replica's answer is "unframed whole"
-    Then the caller gets the replica's answer
+  Scenario: A response without a length is complete if its connection is closed cleanly
+    Given a gateway with one replica per service
+    When a status is requested and the replica's response is "unframed whole"
+    Then the caller receives the replica's response
 
-  Scenario: A replica's own failure is passed on as it is
-    Given a gateway before one replica of each service
-    When a status is asked for and the replica's answer is "fail"
-    Then the caller gets the replica's 500 with its signature and body
+  Scenario: A replica's error response is relayed unchanged
+    Given a gateway with one replica per service
+    When a status is requested and the replica's response is "fail"
+    Then the caller receives the replica's 500 with its signature and body
 
   Scenario: Requests reach the replica unchanged
-    Given a gateway before one replica of each service
-    When requests with odd paths, headers and bodies are sent, whole and in chunks
-    Then the replica got each method, path, body and header unchanged
-    And no header of the router's own that a caller forged
+    Given a gateway with one replica per service
+    When requests with unusual paths, headers and bodies are sent, with a length and in chunks
+    Then the replica received each method, path, body and header unchanged
+    And the replica received no gateway header that the caller forged
 
-  Scenario: A replica that answers before it has read a long request gets no other bytes for it
-    Given a gateway before one replica of each service
-    When long requests are refused before they are read, and others follow
-    Then the others are answered, and no replica read other bytes as the rest of a long one
+  Scenario: After an early response to a long request, no later request is read as its remainder
+    Given a gateway with one replica per service
+    When long requests are refused before their bodies are read, and short ones follow
+    Then the short ones are answered, and no replica read other bytes as the rest of a long body
--- a/features/gateway_configuration.feature
+++ b/features/gateway_configuration.feature
@@ -1,7 +1,7 @@
 Feature: The newest configuration is in force, and never an older one
 
   Scenario: Routes and keys come and go
-    Given a gateway before one replica of each service
+    Given a gateway with one replica per service
     When a route is added and a key is taken away
     Then the route is served and the key is refused with 401 soon
     And an unknown path is answered 404 and a call without a key 401
@@ -12,12 +12,12 @@
     And it serves once the operator has written one
 
   Scenario: A lower version does not replace a higher one
-    Given a gateway before one replica of each service
+    Given a gateway with one replica per service
     When a change is in force and the store then shows the version before
     Then the change stays in force
 
   Scenario: History that is gone is read again
-    Given a gateway before one replica of each service
+    Given a gateway with one replica per service
     When the store forgets its history while a route is added
     Then the route is served soon
 
@@ -38,12 +38,12 @@
     Then it is ready and serves
 
   Scenario: A replica that drains or is gone gets nothing more
-    Given a gateway before two replicas of each service
+    Given a gateway with two replicas per service
     When one portal replica drains and then is unlisted
     Then all receipts go to the other one
 
   Scenario: A replica that comes is used
-    Given a gateway before one replica of each service
+    Given a gateway with one replica per service
     When another portal replica is listed and the first one is unlisted
     Then all receipts go to the new one
 
--- a/features/gateway_stops.feature
+++ b/features/gateway_stops.feature
@@ -1,33 +1,33 @@
-Feature: A planned stop of a gateway cuts nothing that it has read
+Feature: A planned shutdown of a gateway completes every request that it has read
 
-  Scenario: A stream that runs when SIGTERM comes is finished
-    Given a gateway before replicas of both services
-    When SIGTERM comes while a stream runs
-    Then the stream's answer is whole, and says that the connection closes
-    And the gateway was not ready any more, and ends with exit code 0
+  Scenario: A stream in progress at SIGTERM is completed
+    Given a gateway with replicas of both services
+    When SIGTERM is received during a stream
+    Then the stream's response is complete, with every event
+    And the gateway was no longer ready, and it exits with code 0
 
-  Scenario: A request that comes late in a stop is sent elsewhere at once
-    Given a gateway before replicas that take longer than a stop
-    When a request comes on a new connection late in a stop
-    Then it gets a whole answer 503 that says when to come back, and no replica got it
+  Scenario: A request that arrives late in a shutdown is refused at once
+    Given a gateway with replicas that take longer than a shutdown
+    When a request arrives on a new connection late in a shutdown
+    Then it receives a complete response 503 with a Retry-After, and no replica received it
 
-  Scenario: A router that is stopped settles exactly what was used
-    Given a gateway before replicas of both services
-    When some streams are answered and the gateway is stopped
-    Then the store counts just their tokens, and no session is open
+  Scenario: A gateway that is shut down settles the exact token use
+    Given a gateway with replicas of both services
+    When some streams are answered and the gateway is shut down
+    Then the store holds exactly the tokens used, and no session is open
 
-  Scenario: SIGHUP applies changed settings and cuts nothing
-    Given a gateway before replicas of both services
-    When its settings file changes and SIGHUP comes while a stream runs
-    Then the stream's answer is whole, and the connection goes on
-    And the new settings are in force
+  Scenario: SIGHUP applies changed settings without interrupting requests
+    Given a gateway with replicas of both services
+    When its settings file changes and SIGHUP is received during a stream
+    Then the stream's response is complete, and the connection remains usable
+    And the new settings are in effect
 
-  Scenario: Settings that are not accepted leave those before in force
-    Given a gateway before replicas of both services
-    When its settings file is spoilt and SIGHUP comes
-    Then it says what is wrong and serves on
+  Scenario: Invalid settings leave the previous ones in effect
+    Given a gateway with replicas of both services
+    When its settings file becomes invalid and SIGHUP is received
+    Then it logs the invalid setting and continues to serve requests
 
-  Scenario: Settings that change without a signal are found
-    Given a gateway before replicas of both services
+  Scenario: Changed settings are detected without a signal
+    Given a gateway with replicas of both services
     When its settings file changes without a signal
-    Then the new settings are in force
+    Then the new settings are in effect
--- a/features/leaving_and_resting.feature
+++ b/features/leaving_and_resting.feature
@@ -35,6 +35,6 @@
   # The same cause elsewhere: an answer that was passed on counted as good, whatever it said. A
   # replica that failed everything at once kept the requests that may run only once.
   Scenario: A replica that fails what may run only once does not draw it
-    Given a gateway before two replicas of each service
+    Given a gateway with two replicas per service
     When one portal replica fails everything, and 40 statuses are asked for one after the other
     Then the failing one got at most a tenth of them, and the callers got its failures as they are
--- a/features/replica_limits.feature
+++ b/features/replica_limits.feature
@@ -55,7 +55,7 @@
     Then the one that started was told of both limits by others
 
   Scenario: Where all replicas are at their limits callers are refused at once, each with a time
-    Given a gateway before two replicas of each service
+    Given a gateway with two replicas per service
     When both portal replicas name a limit of 0.5, and 8 receipts are asked for at once
     Then as many as the limit allows are served, and the others refused as at_limit and not sent
     And each of those has another time to come back, in steps of a second
@@ -63,7 +63,7 @@
     And its story names both replicas, and its loss is that all were at their limits
 
   Scenario: A second send for a slow answer takes no permit
-    Given a gateway before two replicas of each service
+    Given a gateway with two replicas per service
     When both portal replicas name a limit of 5, and one of them says nothing for a while
     Then a receipt at the silent one is not sent to the other one as well
 
@@ -73,7 +73,7 @@
     Then the request is not sent there, and its permits are given back
 
   Scenario Outline: Of what a replica names only a plain decimal number is a limit
-    Given a gateway before one replica of each service
+    Given a gateway with one replica per service
     When the portal replica names "<value>"
     Then the gateway takes it for <limit>
 
@@ -98,7 +98,7 @@
       | 1;2        | nothing  |
 
   Scenario: Two headers say nothing, and what can't be read takes back nothing
-    Given a gateway before two replicas of each service
+    Given a gateway with two replicas per service
     When both portal replicas name a limit of 2, then something that can't be read, then two
     Then the limit holds on, with one line for each replica on what can't be read
 
--- a/features/replica_statements.feature
+++ b/features/replica_statements.feature
@@ -52,7 +52,7 @@
     Then no start is open once it has left, or before the end of the longest rest it asked for
 
   Scenario Outline: The header counts on each kind of answer
-    Given a gateway before two replicas of each service
+    Given a gateway with two replicas per service
     When <answer> says that its replica leaves
     Then the gateway tells so at once, sends it nothing more, and keeps no connection to it
 
@@ -66,7 +66,7 @@
       | a run whose caller has left      |
 
   Scenario Outline: What is not the word of the replica that was meant says nothing of it
-    Given a gateway before two replicas of each service
+    Given a gateway with two replicas per service
     When <answer> says that its replica leaves
     Then the gateway does not take it for one that leaves
 
@@ -81,22 +81,22 @@
     Then the request goes to the other one, without a second arrival, and a repeat is given back
 
   Scenario: A stream that may be resumed is not resumed at a replica that leaves
-    Given a gateway before two replicas of each service
+    Given a gateway with two replicas per service
     When one engine says that it leaves, and a stream breaks at the other one
     Then the one that leaves gets no part of it
 
   Scenario: Where all replicas rest, callers hear at once when the first one comes back
-    Given a gateway before two replicas of each service
+    Given a gateway with two replicas per service
     When both portal replicas ask for rest, one for 3 s and one for 60 s
     Then the next receipt is refused at once and not sent, with a time to come back of 3 to 4 s
     And the story of that receipt names both replicas and what they asked for
 
   Scenario: Where all replicas leave, callers are refused at once
-    Given a gateway before two replicas of each service
+    Given a gateway with two replicas per service
     When both portal replicas say that they leave
     Then the next receipt is refused at once and not sent, with a time to come back of 2 s
 
   Scenario: Figures tell how many replicas leave and rest
-    Given a gateway before two replicas of each service
+    Given a gateway with two replicas per service
     When one portal replica says that it leaves, and the other one asks for 60 s of rest
     Then the figures tell of one that leaves and one that rests
--- a/features/retries.feature
+++ b/features/retries.feature
@@ -1,52 +1,51 @@
-Feature: Repeats of the whole fleet stay within its budget
+Feature: Retries of the whole fleet stay within its budget
 
-  Scenario: In every sliding window, with routers that start again
+  Scenario: The budget holds in every sliding window if routers restart
     Given routers that share a retry budget
-    When requests and failures come in any order, and routers start again
-    Then in no window are there more repeats than the ratio of the requests and the slack
+    When requests and failures occur in any order, and routers restart
+    Then in no window are there more retries than the ratio of the requests plus the slack
 
-  Scenario: A router that goes on may use its share
+  Scenario: A router that keeps running may use its share
     Given routers that share a retry budget
     When one of them has run for a window and all its requests fail
-    Then it may repeat as often as its share allows
+    Then it may retry as often as its share allows
 
-  Scenario: Routers that start again three times in a window stay within it
+  Scenario: Routers that restart three times in a window stay within the budget
     Given routers that share a retry budget
-    When all of them use their share and start again three times in one window
-    Then in no window are there more repeats than the ratio of the requests and the slack
+    When all of them use their share and restart three times in one window
+    Then in no window are there more retries than the ratio of the requests plus the slack
 
-  # Four routers repeated more than the fleet may. Each had just started, the store left its
-  # writes unanswered, and it had heard of no other: so it took itself for the only one, and the
-  # whole slack for its own. In two starts within two seconds they made 92 repeats for 108
-  # requests, 16 more than allowed, and each told
+  # Routers that had just started, while the store did not respond to their writes, were not aware of
+  # each other, and each used the whole slack. Four routers that started twice within two seconds made
+  # 92 retries for 108 requests, 16 more than allowed, and logged
   #   retry.decided allowed_since=7 refused_since=2 share=7.8 requests=9 routers=1
-  # where the same starts with the others known told
+  # With the other routers known they made 52 retries, 24 fewer than allowed, and logged
   #   retry.decided allowed_since=2 refused_since=7 share=2.1 requests=9 routers=4
-  # and 52 repeats, 24 fewer than allowed. And yet every start began with nothing used.
-  Scenario: Routers that were not told how many they are, and start again
+  # In both cases each start also began with an unused share.
+  Scenario: Routers that restart without the router count stay within the budget
     Given routers that share a retry budget
-    When all use their share and start again twice in one window, and are told nothing
-    Then in no window are there more repeats than the ratio of the requests and the slack
+    When all use their share and restart twice in one window without receiving the router count
+    Then in no window are there more retries than the ratio of the requests plus the slack
 
-  Scenario: Routers that start again twenty times in a window
+  Scenario: Routers that restart twenty times in a window stay within the budget
     Given routers that share a retry budget
-    When all of them start again twenty times in one window, and all requests fail
-    Then in no window are there more repeats than the ratio of the requests and the slack
+    When all of them restart twenty times in one window, and all requests fail
+    Then in no window are there more retries than the ratio of the requests plus the slack
 
-  # A repeat is decided on before its connection is opened. A router that stood still in between,
-  # or a replica that reads late, moves arrivals into a later window, in which new repeats are
-  # allowed: with a share taken at the end of one window and again at the beginning of the next,
-  # replicas got two shares within one.
-  Scenario: Repeats that arrive late count until a window after their arrival
+  # A retry is allowed before its connection is opened. If the router pauses in between, or the
+  # replica reads late, the retry arrives in a later window, in which new retries are allowed: with
+  # one share used at the end of a window and another at the start of the next, replicas received two
+  # shares within one window.
+  Scenario: Retries that arrive late count for a window after their arrival
     Given routers that share a retry budget
-    When all use their share, it arrives 4 seconds late, and they use it again as soon as they may
-    Then in no window are there more repeats than the ratio of the requests and the slack
+    When all use their share, the retries arrive 4 seconds late, and all use it again as soon as allowed
+    Then in no window are there more retries than the ratio of the requests plus the slack
 
-  Scenario: Whatever routers know of each other, and however late repeats arrive
+  Scenario: The budget holds for any known router counts and any delay of retries
     Given routers that share a retry budget
-    Then no order of requests, late arrivals, deaths, starts and stops exceeds it
+    Then no sequence of requests, late arrivals, crashes, starts and stops exceeds the budget
 
-  # A machine may be suspended for seconds between the decision on a repeat and its sending.
-  Scenario: Whatever routers know of each other, and however long machines are suspended
+  # A machine may be suspended for seconds between the decision on a retry and its sending.
+  Scenario: The budget holds for any known router counts and any suspension of machines
     Given routers that share a retry budget
-    Then no order of requests, late arrivals, deaths, starts, stops and suspensions exceeds it
+    Then no sequence of requests, late arrivals, crashes, starts, stops and suspensions exceeds the budget
--- a/features/steps/gateway_answers_steps.py
+++ b/features/steps/gateway_answers_steps.py
@@ -1,4 +1,4 @@
-"""Steps on answers, repeats and the bytes that replicas and callers see."""
+"""Steps on responses, retries and the bytes that replicas and callers receive."""
 
 import time
 
@@ -10,25 +10,25 @@
 from gateway_world import GENEROUS_RETRIES, TOKENS, in_background, start_gateways
 
 
-@given("a gateway before one replica of each service")
+@given("a gateway with one replica per service")
 def one_replica(context):
     start_gateways(context, **GENEROUS_RETRIES)
 
 
-@given("a gateway before two replicas of each service")
+@given("a gateway with two replicas per service")
 def two_replicas(context):
     start_gateways(context, replicas=2, **GENEROUS_RETRIES)
 
 
-@given("a gateway before three replicas that all lose every answer")
-def three_losing(context):
+@given("a gateway with three replicas that drop every response")
+def three_dropping_replicas(context):
     bounds = {"retry_slack": 10, "retry_ratio": 0.2, "retry_window_s": 20, "retry_start_ms": 0}
     start_gateways(context, replicas=3, **bounds)
     for replica in context.fleet.of("portal"):
         replica.behaviour = "lose"
 
 
-@given("a gateway before replicas with long answers")
+@given("a gateway with replicas that send long responses")
 def long_answers(context):
     start_gateways(
         context, fields={"events": 2_000, "pause_s": 0.02, "work_s": 30.0}, **GENEROUS_RETRIES
@@ -36,67 +36,67 @@
     context.fleet.of("engine")[0].work_s = 0.0
 
 
-@given("a gateway before replicas that say nothing")
-def mute_replicas(context):
+@given("a gateway with replicas that send nothing")
+def unresponsive_replicas(context):
     start_gateways(context, **GENEROUS_RETRIES)
     context.fleet.of("portal")[0].behaviour = "mute"
 
 
-def ask_status(context, path="/status/1"):
+def request_status(context, path="/status/1"):
     caller = context.router.call()
     context.identity = caller.send("POST", path, body=b"candidate")
     return caller.read()
 
 
-def ask_receipt(context, path="/receipt/1"):
+def request_receipt(context, path="/receipt/1"):
     caller = context.router.call()
     context.identity = caller.send("GET", path)
     return caller.read()
 
 
-def all_of(context, service, behaviour):
+def set_behaviour(context, service, behaviour):
     for replica in context.fleet.of(service):
         replica.behaviour = behaviour
 
 
-@when('a status is asked for and the replica\'s answer is "{behaviour}"')
+@when('a status is requested and the replica\'s response is "{behaviour}"')
 def status_with_behaviour(context, behaviour):
     context.fleet.of("portal")[0].behaviours = {1: behaviour}
-    context.answer = ask_status(context)
+    context.answer = request_status(context)
 
 
-@then("the caller gets a whole answer {status:d} without a replica's signature")
-def own_failure(context, status):
+@then("the caller receives a complete response {status:d} without a replica's signature")
+def gateway_error(context, status):
     assert context.answer.whole
     assert context.answer.status == status, (context.answer.status, context.answer.body)
     assert not context.answer.header("X-Server-Stamp")
 
 
-@then("the replica ran it once")
+@then("the replica ran the request once")
 def ran_once(context):
     assert context.fleet.runs(context.identity) == 1
 
 
-@then("the next status is answered as the replica answers it")
-def next_is_answered(context):
-    answer = ask_status(context, "/status/next")
+@then("the next status request receives the replica's response unchanged")
+def next_response_is_unchanged(context):
+    answer = request_status(context, "/status/next")
     replica = context.fleet.of("portal")[0]
     assert answer.status == 200 and answer.body == replica.body(replica.requests[-1])
 
 
-@when('a receipt is asked for and the first replica\'s answer is "{behaviour}"')
+@when('a receipt is requested and the first replica\'s response is "{behaviour}"')
 def receipt_with_behaviour(context, behaviour):
     for replica in context.fleet.of("portal"):
         replica.behaviours = {1: behaviour}
-    context.answer = ask_receipt(context)
+    context.answer = request_receipt(context)
     if context.answer.status != 200:
-        # The second replica's first request is spoilt as well: both were asked, as they should.
+        # The second replica's first response is broken as well: both replicas must have been asked.
         assert len([r for r in context.fleet.of("portal") if r.requests]) == 2
-        context.answer = ask_receipt(context)
+        context.answer = request_receipt(context)
 
 
-@then("the caller gets the other replica's whole answer")
-def other_replicas_answer(context):
+@then("the caller receives the other replica's complete response")
+def other_replicas_response(context):
     assert context.answer.status == 200 and context.answer.whole
     assert context.answer.header("X-Request-Id") == context.identity
     bodies = [
@@ -108,9 +108,9 @@
     assert context.answer.body in bodies
 
 
-@when('40 different receipts are asked for while the replica\'s answers are "{behaviour}"')
+@when('40 different receipts are requested while the replica\'s responses are "{behaviour}"')
 def many_receipts(context, behaviour):
-    all_of(context, "portal", behaviour)
+    set_behaviour(context, "portal", behaviour)
     caller = context.router.call()
     context.answers = []
     for number in range(40):
@@ -120,35 +120,35 @@
         time.sleep(0.01)
 
 
-@then("each caller gets the answer to its own request")
-def answers_are_their_own(context):
+@then("each caller receives the response to its own request")
+def responses_match_requests(context):
     for identity, number, answer in context.answers:
         assert answer.status == 200, (number, answer.status, answer.body)
         assert answer.header("X-Request-Id") == identity
         assert f"/receipt/{number} ".encode() in answer.body
 
 
-@then("the caller gets the replica's answer")
-def replicas_answer(context):
+@then("the caller receives the replica's response")
+def replicas_response(context):
     replica = context.fleet.of("portal")[0]
     assert context.answer.status == 200 and context.answer.whole
     assert context.answer.body == replica.body(replica.requests[0])
 
 
-@then("the caller gets the replica's 500 with its signature and body")
-def replicas_failure(context):
+@then("the caller receives the replica's 500 with its signature and body")
+def replicas_error(context):
     assert context.answer.status == 500
     assert context.answer.header("X-Server-Stamp") and context.answer.body == b"error"
 
 
-ODD_REQUESTS = (
+UNUSUAL_REQUESTS = (
     ("GET", "/receipt/a%20b;c=d/../e?x=1&y=%C3%A9&z=?", b"", False),
     ("POST", "/status/plain", b"\r\n\r\nGET /receipt/smuggled HTTP/1.1\r\nHost: x\r\n\r\n", False),
     ("POST", "/status/chunked", bytes(range(256)) * 40, True),
     ("PUT", "/receipt/put", b"0\r\n\r\n", True),
     ("DELETE", "/receipt/gone", b"", False),
 )
-KEPT_HEADERS = ("X_Odd-Name: a, b", "Accept: x", "Accept: y", "Cookie: a=b; c=d")
+FORWARDED_HEADERS = ("X_Odd-Name: a, b", "Accept: x", "Accept: y", "Cookie: a=b; c=d")
 FORGED_HEADERS = (
     "X-Tenant: shop",
     "X-Expect-Instance: i-forged",
@@ -158,27 +158,29 @@
 )
 
 
-@when("requests with odd paths, headers and bodies are sent, whole and in chunks")
-def odd_requests(context):
+@when("requests with unusual paths, headers and bodies are sent, with a length and in chunks")
+def unusual_requests(context):
     caller = context.router.call()
-    for method, path, body, chunked in ODD_REQUESTS:
-        headers = (*KEPT_HEADERS, *FORGED_HEADERS)
+    for method, path, body, chunked in UNUSUAL_REQUESTS:
+        headers = (*FORWARDED_HEADERS, *FORGED_HEADERS)
         answer = caller.request(method, path, body=body, chunked=chunked, headers=headers)
         assert answer.status == 200, (path, answer.status, answer.body)
 
 
-@then("the replica got each method, path, body and header unchanged")
+@then("the replica received each method, path, body and header unchanged")
 def unchanged(context):
     requests = context.fleet.of("portal")[0].requests
-    got = [(each.method, each.target, each.body) for each in requests]
-    assert got == [(method, path, body) for method, path, body, _ in ODD_REQUESTS], got
+    received = [(each.method, each.target, each.body) for each in requests]
+    assert received == [(method, path, body) for method, path, body, _ in UNUSUAL_REQUESTS], (
+        received
+    )
     for request in requests:
         sent = [f"{name}: {value}" for name, value in request.headers]
-        assert all(header in sent for header in KEPT_HEADERS), sent
+        assert all(header in sent for header in FORWARDED_HEADERS), sent
 
 
-@then("no header of the router's own that a caller forged")
-def nothing_forged(context):
+@then("the replica received no gateway header that the caller forged")
+def no_forged_header(context):
     replica = context.fleet.of("portal")[0]
     for request in replica.requests:
         names = [name.lower() for name, _ in request.headers]
@@ -189,153 +191,156 @@
         assert request.header("X-Request-Priority") != "0"
 
 
-@when("a status is asked for and every replica refuses it")
+@when("a status is requested and every replica refuses it")
 def all_refuse(context):
-    all_of(context, "portal", "refuse")
-    context.answer = ask_status(context)
+    set_behaviour(context, "portal", "refuse")
+    context.answer = request_status(context)
 
 
-@then("the caller gets 503 with the time to come back, and no replica ran it")
+@then("the caller receives 503 with a Retry-After, and no replica ran the request")
 def refused_not_run(context):
     assert context.answer.status == 503 and context.answer.whole
     assert float(context.answer.header("Retry-After")) >= 0
     assert not context.fleet.runs(context.identity)
 
 
-@given("one replica that reads requests later than routers wait for an answer")
-def read_late(context):
+@given("one replica that reads requests only after the attempt timeout")
+def replica_reads_late(context):
     context.stall_s = 1.5
 
 
-@when("a receipt is asked for, the first replica loses its answer and the second refuses")
-def lost_then_refused(context):
+@when("a receipt is requested, the first replica drops its response and the second one refuses")
+def dropped_then_refused(context):
     first, second = context.fleet.of("portal")
-    seen = [first, second]
+    replicas = [first, second]
 
     def behaviours(own, other):
-        class Once(dict):
+        class DropThenRefuse(dict):
             def get(self, number, default):
                 return "refuse" if other.requests else "lose"
 
-        own.behaviours = Once()
+        own.behaviours = DropThenRefuse()
 
-    behaviours(seen[0], seen[1])
-    behaviours(seen[1], seen[0])
+    behaviours(replicas[0], replicas[1])
+    behaviours(replicas[1], replicas[0])
     first.stall_s = getattr(context, "stall_s", 0.0)
-    context.answer = ask_receipt(context)
+    context.answer = request_receipt(context)
 
 
-@then("the caller gets 502, which promises nothing")
-def promises_nothing(context):
-    # One that was given up as silent may read its request after the caller has got the answer.
+@then("the caller receives 502 or 504, which do not state that the request was not run")
+def run_state_is_unknown(context):
+    # A replica abandoned as unresponsive may read its request after the caller has the response.
     portals = context.fleet.of("portal")
     assert eventually(lambda: sum(len(replica.requests) for replica in portals) >= 2)
     assert sum(len(replica.requests) for replica in portals) == 2
     assert context.answer.status in (502, 504), context.answer.status
 
 
-@when("a status is answered, and the next one is lost on the kept connection")
-def lost_on_kept_connection(context):
+@when("a status is answered, and the response to the next one is lost on the reused connection")
+def lost_on_reused_connection(context):
     context.fleet.of("portal")[0].behaviours = {2: "lose"}
-    assert ask_status(context).status == 200
-    context.answer = ask_status(context, "/status/2")
+    assert request_status(context).status == 200
+    context.answer = request_status(context, "/status/2")
 
 
-@then("the second caller gets 502, and the replica ran each once")
-def kept_connection_counted(context):
+@then("the second caller receives 502, and the replica ran each request once")
+def reused_connection_counts_as_sent(context):
     replica = context.fleet.of("portal")[0]
     used = {request.connection for request in replica.requests}
-    assert len(replica.requests) == 2 and len(used) == 1, "the connection was not kept"
+    assert len(replica.requests) == 2 and len(used) == 1, "the connection was not reused"
     assert context.answer.status == 502
     assert set(replica.runs.values()) == {1}
 
 
-@when("100 receipts are asked for")
+@when("100 receipts are requested")
 def hundred_receipts(context):
-    context.statuses = [ask_receipt(context, f"/receipt/{n}").status for n in range(100)]
+    context.statuses = [request_receipt(context, f"/receipt/{n}").status for n in range(100)]
 
 
-@then("the replicas got at most the requests, a fifth of them and the slack")
+@then("the replicas received at most the requests, a fifth of them and the slack")
 def within_retry_budget(context):
     arrivals = sum(len(replica.requests) for replica in context.fleet.of("portal"))
     assert 100 < arrivals <= 100 + 20 + 10, arrivals
     assert set(context.statuses) <= {502, 504}, set(context.statuses)
 
 
-@when("one portal replica is gone without a word and receipts are asked for")
-def replica_gone(context):
+@when("one portal replica crashes and receipts are requested")
+def replica_crashed(context):
     context.fleet.of("portal")[0].crash()
-    context.answers = [ask_receipt(context, f"/receipt/{number}") for number in range(20)]
+    context.answers = [request_receipt(context, f"/receipt/{number}") for number in range(20)]
 
 
 @then("every receipt is answered")
-def every_receipt(context):
+def every_receipt_answered(context):
     assert [answer.status for answer in context.answers] == [200] * 20
 
 
-@when("the portal's address belongs to another replica and a status is asked for")
+@when("the portal's address belongs to another replica and a status is requested")
 def address_reused(context):
     context.fleet.of("portal")[0].identity = "i-another"
-    context.answer = ask_status(context)
+    context.answer = request_status(context)
 
 
-@given("two gateways that have used a portal replica, and another one that was just listed")
+@given("two gateways that have used a portal replica, and a second one that was just listed")
 def two_gateways(context):
     start_gateways(context, routers=2, **GENEROUS_RETRIES)
     for router in context.fleet.routers:
         assert eventually(lambda: router.find("domain.led"))  # noqa: B023
-    used(context, 8)
+    use_replica(context, 8)
     other = context.fleet.add_replica("portal")
     for router in context.fleet.routers:
         assert eventually(lambda: router.find("replica.listed", replica=other.identity))  # noqa: B023
 
 
-def used(context, count):
-    """Have the first router learn that a replica answers sooner than an unknown one."""
+def use_replica(context, count):
+    """Let the first router measure that a replica responds faster than an unknown one would."""
     for _ in range(count):
-        assert ask_status(context).status == 200
+        assert request_status(context).status == 200
 
 
-@when("the one that was used comes back under a new id that is not listed")
-def comes_back_unlisted(context):
+@when("the used one restarts under a new id that is not listed")
+def restarts_unlisted(context):
     replica = context.fleet.of("portal")[0]
     before = len(replica.requests)
     replica.identity = "i-another"
     first, second = context.fleet.routers
-    context.answers = [ask_status(context) for _ in range(5)]
+    context.answers = [request_status(context) for _ in range(5)]
     assert eventually(lambda: first.find("replica.replaced")), first.lines
     assert eventually(lambda: second.find("replica.replaced", told_by=first.name)), second.lines
     context.router = second
-    context.answers += [ask_status(context) for _ in range(10)]
-    context.met = len(replica.requests) - before
+    context.answers += [request_status(context) for _ in range(10)]
+    context.requests_at_new_id = len(replica.requests) - before
 
 
-@then("every status is answered, and the new id was met once")
+@then("every status is answered, and the new id received one request")
 def all_answered(context):
     assert {answer.status for answer in context.answers} == {200}, context.answers
-    assert context.met == 1, context.met
+    assert context.requests_at_new_id == 1, context.requests_at_new_id
 
 
-@given("a replica that another router told was replaced")
-def told_replaced(context):
+@given("a replica that another router reported as replaced")
+def reported_replaced(context):
     context.clock = ManualClock()
     context.registry = ReplicaRegistry(context.clock, lambda identity: None)
     context.registry.update([Replica("i-1", "portal", "10.0.0.1:1")])
     context.registry.note_replaced("i-1", "router-2")
 
 
-@when("that is told again and again for {seconds:d} seconds")
-def told_again(context, seconds):
-    context.left_out_s = 0
+@when("the report is repeated every second for {seconds:d} seconds")
+def reported_again(context, seconds):
+    context.excluded_s = 0
     for _ in range(seconds):
-        context.left_out_s += not context.registry.ready("portal")
+        context.excluded_s += not context.registry.ready("portal")
         context.clock.advance(1_000)
         context.registry.note_replaced("i-1", "router-2")
 
 
-@then("it is left out for {seconds:d} seconds, and again only after this router met it itself")
-def left_out(context, seconds):
-    assert context.left_out_s == seconds, context.left_out_s
+@then(
+    "it is excluded for {seconds:d} seconds, "
+    "and again only after this router detects the replacement itself"
+)
+def excluded(context, seconds):
+    assert context.excluded_s == seconds, context.excluded_s
     assert context.registry.ready("portal")
     context.registry.note_replaced("i-1")
     assert not context.registry.ready("portal")
@@ -349,28 +354,31 @@
 
 @when("a score is streamed and its replica breaks off within an event")
 def score_breaks(context):
-    only_the_first_breaks(context, "break off", "well")
+    break_first_response(context, "break off", "well")
     context.answer = stream(context, "/score/1")
 
 
-@when("a score is streamed, breaks off, and the next replica begins again")
-def score_begins_again(context):
-    only_the_first_breaks(context, "break off", "resume twice")
+@when("a score is streamed, breaks off, and the next replica restarts it")
+def score_restarts(context):
+    break_first_response(context, "break off", "resume twice")
     context.answer = stream(context, "/score/1")
 
 
-def only_the_first_breaks(context, first, then_):
+def break_first_response(context, first, others):
     engines = context.fleet.of("engine")
 
-    class Shared(dict):
+    class FirstThenOthers(dict):
         def get(self, number, default):
-            return first if sum(len(each.requests) for each in engines) == 1 else then_
+            return first if sum(len(each.requests) for each in engines) == 1 else others
 
     for engine in engines:
-        engine.behaviours = Shared()
+        engine.behaviours = FirstThenOthers()
 
 
-@then("the caller gets every event once in one whole answer, with the first replica's signature")
+@then(
+    "the caller receives every event once in one complete response, "
+    "with the first replica's signature"
+)
 def every_event_once(context):
     engines = context.fleet.of("engine")
     assert context.answer.status == 200 and context.answer.whole
@@ -379,46 +387,46 @@
     assert context.answer.header("X-Server-Stamp").startswith(first.identity)
 
 
-@then("the second replica was asked to go on after the last event that the caller has")
-def asked_to_go_on(context):
+@then("the second replica was asked to resume after the last event that the caller received")
+def asked_to_resume(context):
     resumed = [r.header("Last-Event-Id") for e in context.fleet.of("engine") for r in e.requests]
     assert sorted(resumed) == ["", "2"], resumed
 
 
 @when("a review is streamed and its replica breaks off within an event")
 def review_breaks(context):
-    all_of(context, "engine", "break off")
+    set_behaviour(context, "engine", "break off")
     context.answer = stream(context, "/review/1")
 
 
 @when("a review is streamed and its replica ends early")
 def review_ends_early(context):
-    all_of(context, "engine", "end early")
+    set_behaviour(context, "engine", "end early")
     context.answer = stream(context, "/review/1")
 
 
-@then("the caller gets whole events and an answer that does not look complete")
+@then("the caller receives complete events and a response that is recognisably incomplete")
 def cut_stream(context):
     assert not context.answer.whole
     assert context.answer.event_ids == [1, 2], context.answer.event_ids
     assert context.answer.body.endswith(b"\n\n")
 
 
-@then("only one replica ran it")
+@then("only one replica ran the request")
 def one_run(context):
     assert context.fleet.runs(context.identity) == 1
 
 
-@when("a caller leaves in the middle of a score")
-def leaves_in_the_middle(context):
+@when("a caller disconnects in the middle of a score")
+def disconnects_during_stream(context):
     caller = context.router.call()
     context.identity = caller.send("POST", "/score/1", body=b"x", tokens=TOKENS)
     assert caller.read_head()[0] == 200
     caller.close()
 
 
-@when("a caller leaves while a receipt is worked on")
-def leaves_before_first_byte(context):
+@when("a caller disconnects while a receipt is processed")
+def disconnects_before_first_byte(context):
     caller = context.router.call()
     context.identity = caller.send("GET", "/receipt/1", deadline_ms=60_000)
     assert eventually(lambda: context.fleet.runs(context.identity))
@@ -430,7 +438,7 @@
     assert eventually(lambda: sum(r.cancelled[context.identity] for r in context.fleet.replicas))
 
 
-@when("a status with a timeout of 300 ms is asked for by a caller that would wait a minute")
+@when("a status with a timeout of 300 ms is requested by a caller with a deadline of one minute")
 def timeout(context):
     def shorten(configuration):
         configuration["routes"][0]["timeoutMs"] = 300
@@ -442,14 +450,14 @@
     context.answer = in_background(caller.read)()
 
 
-@then("the caller gets a whole answer 504 long before its deadline")
-def final_answer(context):
+@then("the caller receives a complete response 504 long before its deadline")
+def complete_timeout_response(context):
     assert context.answer.status == 504 and context.answer.whole
     assert context.answer.seconds < 30
 
 
-@when("a receipt with 2000 ms to go is lost at the first replica")
-def deadline_passed_on(context):
+@when("the response to a receipt with a deadline of 2000 ms is lost at the first replica")
+def deadline_of_two_attempts(context):
     context.fleet.of("portal")[0].behaviours = {1: "lose"}
     context.fleet.of("portal")[1].behaviours = {1: "lose"}
     caller = context.router.call()
@@ -457,17 +465,17 @@
     caller.read()
 
 
-@then("both replicas were given less than 2000 ms, and the second less than the first")
-def less_and_less(context):
-    given_ms = [
+@then("both replicas received a deadline of at most 2000 ms")
+def deadlines_received(context):
+    deadlines_ms = [
         int(request.header("X-Deadline-Ms"))
         for replica in context.fleet.of("portal")
         for request in replica.requests
     ]
-    assert len(given_ms) == 2 and max(given_ms) <= 2_000, given_ms
+    assert len(deadlines_ms) == 2 and max(deadlines_ms) <= 2_000, deadlines_ms
 
 
-@when("long requests are refused before they are read, and others follow")
+@when("long requests are refused before their bodies are read, and short ones follow")
 def long_requests(context):
     def allow_long(configuration):
         configuration["limits"]["maxBodyBytes"] = 16 * 1024 * 1024
@@ -485,7 +493,7 @@
         context.answers.append(caller.request("POST", f"/status/{number}", body=b"short"))
 
 
-@then("the others are answered, and no replica read other bytes as the rest of a long one")
+@then("the short ones are answered, and no replica read other bytes as the rest of a long body")
 def no_other_bytes(context):
     replica = context.fleet.of("portal")[0]
     assert [answer.status for answer in context.answers] == [200] * 3
--- a/features/steps/gateway_repeats_steps.py
+++ b/features/steps/gateway_repeats_steps.py
@@ -1,4 +1,4 @@
-"""Steps on repeats of several routers as their replicas count them."""
+"""Steps on the retries of several routers, counted at their replicas."""
 
 import threading
 import time
@@ -10,14 +10,14 @@
 RATIO = 0.2
 SLACK = 54
 ROUTERS = 4
-PRESSED = 9
+REQUESTS_PER_ROUTER = 9
 
 
 def start_fleet(context, window_s, **bounds):
     context.fleet = Fleet(context.cleanup)
     context.fleet.operator.write()
     context.window_s = window_s
-    context.sent = []
+    context.sent_s = []
     for _ in range(3):
         context.fleet.add_replica("portal").behaviour = "refuse"
     for _ in range(ROUTERS):
@@ -26,7 +26,7 @@
         )
 
 
-def together(action, items):
+def run_in_parallel(action, items):
     threads = [threading.Thread(target=action, args=(item,)) for item in items]
     for thread in threads:
         thread.start()
@@ -34,69 +34,73 @@
         thread.join()
 
 
-def press(context):
-    """Have each router get some requests at once."""
+def send_requests(context):
+    """Send some requests to each router at once."""
 
-    def ask(router):
-        context.sent.append(time.monotonic())
+    def send(router):
+        context.sent_s.append(time.monotonic())
         caller = router.call()
         caller.request("GET", "/receipt/1")
         caller.close()
 
-    together(ask, context.fleet.routers * PRESSED)
+    run_in_parallel(send, context.fleet.routers * REQUESTS_PER_ROUTER)
 
 
-def start_again(context):
+def restart(context):
     for router in context.fleet.routers:
         router.kill()
-    together(context.fleet.start_again, list(context.fleet.routers))
+    run_in_parallel(context.fleet.start_again, list(context.fleet.routers))
 
 
-def repeats(context):
+def retries(context):
     requests = [each for replica in context.fleet.replicas for each in list(replica.requests)]
     return repeated(requests)
 
 
-def worst(context):
-    found = repeats(context)
-    return worst_window(found, context.sent, ratio=RATIO, slack=SLACK, window=context.window_s)[0]
+def worst_excess(context):
+    """Return the excess of retries over the budget in the worst window."""
+    found = retries(context)
+    return worst_window(found, context.sent_s, ratio=RATIO, slack=SLACK, window=context.window_s)[0]
 
 
-@given("four gateways that hear of nobody, before replicas that refuse every request")
-def unheard_gateways(context):
+@given("four gateways without contact to each other, with replicas that refuse every request")
+def isolated_gateways(context):
     start_fleet(context, 10)
 
 
-@when("they are pressed, killed and started again three times, and the store loses the answers")
-def pressed_and_killed(context):
-    press(context)
+@when(
+    "they receive requests and are killed and restarted three times, "
+    "and the store loses its responses"
+)
+def loaded_and_killed(context):
+    send_requests(context)
     for door in context.fleet.store.doors:
         door.lose_writes = 1_000_000
     for _ in range(3):
-        start_again(context)
-        press(context)
+        restart(context)
+        send_requests(context)
 
 
-@then("in no window did the replicas get more repeats than the fleet may make")
+@then("in no window did the replicas receive more retries than the fleet's budget allows")
 def within_budget(context):
-    assert worst(context) <= 0, (worst(context), len(repeats(context)))
+    assert worst_excess(context) <= 0, (worst_excess(context), len(retries(context)))
 
 
-@given("four gateways that share repeats in windows of 2 s, before replicas that refuse")
-def gateways_in_touch(context):
+@given("four gateways that share a retry budget in windows of 2 s, with replicas that refuse")
+def connected_gateways(context):
     start_fleet(context, 2, retry_start_ms=1_000)
 
 
-@when("they are killed and started again, and the store answers")
+@when("they are killed and restarted, and the store responds")
 def killed_once(context):
-    start_again(context)
+    restart(context)
 
 
-@then("repeats arrive again, and in no window more than the fleet may make")
-def repeats_again(context):
-    def pressed():
-        press(context)
-        return repeats(context)
+@then("retries arrive again, and in no window more than the fleet's budget allows")
+def retries_again(context):
+    def retried():
+        send_requests(context)
+        return retries(context)
 
-    assert eventually(pressed), context.fleet.routers[0].lines[-5:]
-    assert worst(context) <= 0, worst(context)
+    assert eventually(retried), context.fleet.routers[0].lines[-5:]
+    assert worst_excess(context) <= 0, worst_excess(context)
--- a/features/steps/gateway_world.py
+++ b/features/steps/gateway_world.py
@@ -1,4 +1,4 @@
-"""What steps of the gateway share: a fleet against the stand-ins."""
+"""Helpers of the gateway steps: a fleet of gateways with stand-ins for the platform."""
 
 import threading
 import time
@@ -6,8 +6,8 @@
 from platform_standins import Fleet
 from platform_standins.fleet import eventually
 
-# Repeats as many as a scenario wants, as soon as a router has known its fleet for a tenth of a
-# second.
+# Allows as many retries as a scenario needs, as soon as a router has known the router count for a
+# tenth of a second.
 GENEROUS_RETRIES = {
     "retry_slack": 400,
     "retry_ratio": 0.2,
@@ -18,6 +18,7 @@
 
 
 def start_gateways(context, routers=1, replicas=1, fields=None, **bounds):
+    """Start gateways and, per service, replicas with ``fields``; ``bounds`` are settings."""
     context.fleet = Fleet(context.cleanup)
     context.fleet.operator.write()
     for _ in range(replicas):
@@ -27,18 +28,18 @@
         context.fleet.add_router(**bounds)
     context.router = context.fleet.routers[0]
     if "retry_window_s" in bounds and not bounds.get("unread"):
-        wait_for_repeats(context)
+        wait_for_retries(context)
 
 
-def wait_for_repeats(context):
-    """Wait until each router has known for a window how many routers there are."""
+def wait_for_retries(context):
+    """Wait until each router has known the router count for one window."""
     for router in context.fleet.routers:
         assert eventually(lambda: router.find("retry.routers")), router.lines  # noqa: B023
     time.sleep(context.router.bounds["retry_window_s"] + 0.05)
 
 
 def in_background(action):
-    """Run an action on a thread; return a function that waits for its result."""
+    """Run an action in a thread; return a function that waits for its result."""
     results = []
 
     def run():
--- a/features/steps/load_generator.py
+++ b/features/steps/load_generator.py
@@ -1,4 +1,4 @@
-"""Callers that ask several gateways for a while, and what replicas got of their requests."""
+"""A load generator for several gateways, and the arrivals of its requests at replicas."""
 
 import itertools
 import threading
@@ -6,20 +6,23 @@
 
 from gateway_world import TOKENS, start_gateways
 
-# Repeats as the platform allows them, but in a shorter window.
+# The retry budget of the platform, but in a shorter window.
 WINDOW_S = 2
 START_MS = 1_000
 WARM_UP_S = 1.0
 
 CALLERS = 8
 PAUSE_S = 0.01
-MOST_PARTS = 40
+MAX_SEGMENTS = 40
 
 _numbers = itertools.count(1)
 
 
 class SentRequest:
-    """One request: the gateway that got it, when it was sent, and what came back when."""
+    """A request: the gateway it was sent to, when it was sent, and its response.
+
+    ``status`` is 0 without a complete response, and ``ended_s`` is 0 until it has ended.
+    """
 
     def __init__(self, router, path):
         self.router = router
@@ -30,20 +33,20 @@
         self.ended_s = 0.0
 
     def header(self, name):
-        """Return a header of the answer; empty where there is none."""
+        """Return a header of the response, empty if it is missing."""
         found = [value for key, value in self.headers if key.lower() == name.lower()]
         return found[0] if found else ""
 
     @property
     def gateway_and_kind(self):
-        """The gateway and the kind of request, by which the service is chosen."""
+        """The gateway, and the kind of request, which determines the service."""
         return self.router.name, self.path.split("/")[1]
 
 
 class LoadGenerator:
-    """Callers that ask each gateway in turn, by default for receipts and for streams.
+    """Callers that send requests to each gateway in turn, by default for receipts and streams.
 
-    Each asks again ``pause_s`` after it has got its answer, until they stop.
+    Each caller sends its next request ``pause_s`` after the previous response, until ``end``.
     """
 
     def __init__(
@@ -55,7 +58,7 @@
         self.requests = {}
         self._stop = threading.Event()
         self._threads = [
-            threading.Thread(target=self._ask, args=(offset,), daemon=True)
+            threading.Thread(target=self._send_requests, args=(offset,), daemon=True)
             for offset in range(callers)
         ]
 
@@ -75,45 +78,45 @@
             thread.join()
         return self
 
-    def _ask(self, offset):
-        # Those that ask seldom do not all ask at one moment.
+    def _send_requests(self, offset):
+        # Spread the first requests, so that callers with long pauses do not send at the same time.
         self._stop.wait(self.pause_s * offset / len(self._threads))
         for number in itertools.count(offset):
             if self._stop.wait(self.pause_s):
                 return
             router = self.routers[number % len(self.routers)]
             path = self.paths[(number // len(self.routers)) % len(self.paths)]
-            self._ask_once(router, f"{path}{next(_numbers)}")
+            self._send_request(router, f"{path}{next(_numbers)}")
 
-    def _ask_once(self, router, path):
-        asked = SentRequest(router, path)
+    def _send_request(self, router, path):
+        request = SentRequest(router, path)
         identity = path.strip("/").replace("/", "-")
         fields = {}
         if path.startswith("/score"):
-            # Prompts of many kinds, so that each replica is somebody's first choice.
-            part = f"{sum(identity.encode()) % MOST_PARTS:x}:{TOKENS[0] - 1}"
+            # Different prompt segments, so that each replica is the best choice for some requests.
+            segment = f"{sum(identity.encode()) % MAX_SEGMENTS:x}:{TOKENS[0] - 1}"
             fields = {
                 "tokens": TOKENS,
                 "body": b"essay",
-                "parts": f"{part},{len(self.requests):x}:1",
+                "parts": f"{segment},{len(self.requests):x}:1",
             }
-        self.requests[identity] = asked
+        self.requests[identity] = request
         try:
             caller = router.call()
             answer = caller.request("POST" if fields else "GET", path, identity=identity, **fields)
             caller.close()
         except OSError:
             return
-        asked.ended_s = time.monotonic()
-        asked.status = answer.status if answer.whole else 0
-        asked.headers = answer.headers
+        request.ended_s = time.monotonic()
+        request.status = answer.status if answer.whole else 0
+        request.headers = answer.headers
 
 
 def start_with_load(context, *, routers, replicas, change=None):
-    """Start gateways that share repeats; return the replica of each service that is asked most.
+    """Start gateways with a retry budget; return the replica per service with the most requests.
 
-    These are to speak: what a replica says that nobody would choose puts nothing to the test.
-    ``change`` is applied to the configuration.
+    Tests change the behaviour of these replicas, since that of a replica without requests would
+    have no effect. ``change`` is applied to the configuration.
     """
     start_gateways(
         context,
@@ -135,7 +138,7 @@
 
 
 def replica_arrivals(callers, replica):
-    """Return what a replica got of the callers' requests, as pairs of id and time."""
+    """Return the requests of ``callers`` that a replica received, as pairs of id and time."""
     return [
         (each.identity, each.at_s)
         for each in list(replica.requests)
--- a/features/steps/retries_steps.py
+++ b/features/steps/retries_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the retry budget that routers share without a message."""
+"""Steps on the retry budget that routers share without exchanging messages about it."""
 
 from behave import given, then, when
 from hypothesis import given as given_any
@@ -10,8 +10,8 @@
 from aspengate.retries import RetryPolicy, SharedRetryBudget
 
 POLICY = RetryPolicy(ratio=0.2, slack=54.0, window_ms=10_000)
-# How long what a dead router sent may still be sent again by its system.
-RESENT_MS = 2_000
+# How long the operating system may retransmit the data of a dead router.
+RETRANSMISSION_MS = 2_000
 EVENT = st.tuples(
     st.sampled_from(["request", "burst", "fail", "restart", "wait"]),
     st.integers(0, 3),
@@ -20,18 +20,23 @@
 
 
 class Fleet:
-    """Routers by number, None for one that was stopped; ``late`` are repeats under way."""
+    """A fleet of simulated routers.
+
+    ``budgets`` holds the retry budget of each router by number, None for a stopped one.
+    ``in_flight`` holds retries that have not arrived yet, as tuples of arrival time, router and
+    budget.
+    """
 
     def __init__(self, size):
         self.clock = ManualClock()
         self.size = size
-        self.requests, self.repeats, self.late = [], [], []
+        self.requests, self.retries, self.in_flight = [], [], []
         self.budgets = [self.start() for _ in range(size)]
         self.advance(POLICY.window_ms + POLICY.start_ms + 1)
 
-    def start(self, told=True):
+    def start(self, knows_count=True):
         budget = SharedRetryBudget(POLICY, self.clock)
-        if told:
+        if knows_count:
             budget.set_router_count(self.size)
         return budget
 
@@ -41,41 +46,43 @@
             self.requests.append(self.clock.monotonic_ms())
 
     def fail(self, number, count, late_ms=0):
-        """Have a router repeat as often as it may; the repeats arrive ``late_ms`` later."""
+        """Have a router retry up to ``count`` times if allowed; they arrive ``late_ms`` later."""
         budget = self.budgets[number]
         for _ in range(count):
             if budget.acquire("portal").allowed:
-                self.late.append((self.clock.monotonic_ms() + late_ms, number, budget))
+                self.in_flight.append((self.clock.monotonic_ms() + late_ms, number, budget))
         self.advance(0)
 
     def advance(self, duration_ms):
-        """Let time go by, and repeats arrive that are due."""
+        """Advance the clock; retries that are due arrive."""
         last_ms = self.clock.monotonic_ms() + duration_ms
-        for due_ms, number, budget in sorted(self.late, key=lambda each: each[0]):
+        for due_ms, number, budget in sorted(self.in_flight, key=lambda each: each[0]):
             if due_ms > last_ms:
                 continue
-            self.late.remove((due_ms, number, budget))
+            self.in_flight.remove((due_ms, number, budget))
             self.clock.advance(due_ms - self.clock.monotonic_ms())
-            self.repeats.append(due_ms)
+            self.retries.append(due_ms)
             budget.settle("portal", allowed=1, arrived=1, arrived_ms=due_ms)
         self.clock.advance(last_ms - self.clock.monotonic_ms())
 
     def kill(self, number):
-        """End a router; what it sent arrives within two seconds, or is lost."""
-        last_ms = self.clock.monotonic_ms() + RESENT_MS
-        self.late = [each for each in self.late if each[1] != number or each[0] <= last_ms]
+        """Kill a router; its retries in flight arrive within ``RETRANSMISSION_MS``, or are lost."""
+        last_ms = self.clock.monotonic_ms() + RETRANSMISSION_MS
+        self.in_flight = [
+            each for each in self.in_flight if each[1] != number or each[0] <= last_ms
+        ]
         self.budgets[number] = None
 
-    def tell(self):
-        """Tell the routers that run how many they are, with those that were killed."""
+    def announce_count(self):
+        """Set the router count, including killed routers, in all running routers."""
         for budget in self.budgets:
             if budget is not None:
                 budget.set_router_count(self.size)
 
-    def worst(self):
-        """Return by how much the repeats of some window exceed what it allows."""
+    def worst_excess(self):
+        """Return the excess of retries over the budget in the worst window."""
         policy = {"ratio": POLICY.ratio, "slack": POLICY.slack, "window": POLICY.window_ms}
-        return worst_window(self.repeats, self.requests, **policy)[0]
+        return worst_window(self.retries, self.requests, **policy)[0]
 
 
 @given("routers that share a retry budget")
@@ -83,34 +90,37 @@
     context.routers = 4
 
 
-@when("requests and failures come in any order, and routers start again")
+@when("requests and failures occur in any order, and routers restart")
 def in_any_order(context):
     pass
 
 
-def use_and_start_again(context, times, requests, pause_ms, *, told=True):
-    """Have all use their share and start again, so many times, with pauses between."""
+def use_share_and_restart(context, times, requests, pause_ms, *, knows_count=True):
+    """Have all routers use their shares and restart, ``times`` times with pauses in between."""
     fleet = context.fleet = Fleet(context.routers)
     for _ in range(times):
         for number in range(context.routers):
             fleet.request(number, requests)
             fleet.fail(number, 200)
-            fleet.budgets[number] = fleet.start(told=told)
+            fleet.budgets[number] = fleet.start(knows_count=knows_count)
         fleet.advance(pause_ms)
 
 
-@when("all of them use their share and start again three times in one window")
+@when("all of them use their share and restart three times in one window")
 def restarts(context):
-    use_and_start_again(context, 4, 20, POLICY.window_ms / 5)
+    use_share_and_restart(context, 4, 20, POLICY.window_ms / 5)
 
 
-@when("all use their share and start again twice in one window, and are told nothing")
-def restarts_untold(context):
-    use_and_start_again(context, 3, 5, 1_000, told=False)
+@when("all use their share and restart twice in one window without receiving the router count")
+def restarts_without_count(context):
+    use_share_and_restart(context, 3, 5, 1_000, knows_count=False)
 
 
-@when("all use their share, it arrives 4 seconds late, and they use it again as soon as they may")
-def late_repeats(context):
+@when(
+    "all use their share, the retries arrive 4 seconds late, "
+    "and all use it again as soon as allowed"
+)
+def late_retries(context):
     fleet = context.fleet = Fleet(context.routers)
     for number in range(context.routers):
         fleet.request(number, 5)
@@ -121,7 +131,7 @@
         fleet.fail(number, 200)
 
 
-@when("all of them start again twenty times in one window, and all requests fail")
+@when("all of them restart twenty times in one window, and all requests fail")
 def restarts_often(context):
     fleet = context.fleet = Fleet(context.routers)
     for _ in range(20):
@@ -132,10 +142,10 @@
         fleet.advance(POLICY.window_ms / 25)
 
 
-@then("in no window are there more repeats than the ratio of the requests and the slack")
+@then("in no window are there more retries than the ratio of the requests plus the slack")
 def within(context):
     if hasattr(context, "fleet"):
-        assert context.fleet.worst() <= 0, context.fleet.worst()
+        assert context.fleet.worst_excess() <= 0, context.fleet.worst_excess()
         return
 
     @settings(max_examples=200)
@@ -154,7 +164,7 @@
                 fleet.budgets[number] = fleet.start()
             else:
                 fleet.advance(size)
-        assert fleet.worst() <= 0, fleet.worst()
+        assert fleet.worst_excess() <= 0, fleet.worst_excess()
 
     check()
 
@@ -166,18 +176,18 @@
     context.fleet.fail(0, 200)
 
 
-@then("it may repeat as often as its share allows")
+@then("it may retry as often as its share allows")
 def share(context):
     share = POLICY.ratio * 100 + POLICY.slack / context.routers
-    assert 0.6 * share <= len(context.fleet.repeats) <= share, len(context.fleet.repeats)
+    assert 0.6 * share <= len(context.fleet.retries) <= share, len(context.fleet.retries)
 
 
-MOST_SIZE = 4_000
-ANY_EVENT_SIZES = (st.integers(0, 3), st.integers(1, MOST_SIZE))
+MAX_SIZE = 4_000
+ANY_EVENT_SIZES = (st.integers(0, 3), st.integers(1, MAX_SIZE))
 ANY_EVENT = st.tuples(
     st.sampled_from(
         [
-            *("request", "late", "all late", "all late", "kill", "untold"),
+            *("request", "late", "all late", "all late", "kill", "unaware"),
             *("start", "stop", "wait", "window", "rest"),
         ]
     ),
@@ -185,8 +195,8 @@
 )
 
 
-def play(fleet, name, number, size):
-    """Let one thing happen; ``number`` is the router, ``size`` how much or how late."""
+def apply_event(fleet, name, number, size):
+    """Apply one event; ``number`` is the router, ``size`` its amount or delay."""
     budget = fleet.budgets[number]
     if name == "wait":
         fleet.advance(size)
@@ -202,7 +212,7 @@
         if name == "start":
             fleet.size = max(fleet.size, sum(each is not None for each in fleet.budgets) + 1)
             fleet.budgets[number] = fleet.start()
-            fleet.tell()
+            fleet.announce_count()
     elif name == "request":
         fleet.request(number, 1 + size % 100)
     elif name == "late":
@@ -210,40 +220,43 @@
     elif name == "kill":
         fleet.kill(number)
         fleet.budgets[number] = fleet.start()
-    elif name == "untold":
+    elif name == "unaware":
         fleet.kill(number)
-        fleet.budgets[number] = fleet.start(told=False)
+        fleet.budgets[number] = fleet.start(knows_count=False)
     elif name == "stop":
         fleet.kill(number)
         fleet.size = max(1, fleet.size - 1)
-        fleet.tell()
+        fleet.announce_count()
 
 
 def suspend(fleet, number, duration_ms):
-    """Have a router stand still: what it had under way is sent when it goes on."""
+    """Suspend a router: its retries in flight are sent after it has resumed."""
     until_ms = fleet.clock.monotonic_ms() + duration_ms
     fleet.suspended[number] = until_ms
-    fleet.late = [
+    fleet.in_flight = [
         (max(due_ms, until_ms) if each == number else due_ms, each, budget)
-        for due_ms, each, budget in fleet.late
+        for due_ms, each, budget in fleet.in_flight
     ]
 
 
-def play_awake(fleet, name, number, size):
-    """Let one thing happen, unless it is a suspended router's to do."""
-    acting = name in ("request", "late", "start", "stop")
-    if acting and fleet.clock.monotonic_ms() < fleet.suspended.get(number, 0.0):
+def apply_event_unless_suspended(fleet, name, number, size):
+    """Apply one event, except actions of a suspended router."""
+    needs_running_router = name in ("request", "late", "start", "stop")
+    if needs_running_router and fleet.clock.monotonic_ms() < fleet.suspended.get(number, 0.0):
         return
     if name == "suspend":
         suspend(fleet, number, 3 * size)
     elif name != "all late":
-        play(fleet, name, number, size)
+        apply_event(fleet, name, number, size)
     else:
         for each in range(len(fleet.budgets)):
-            play_awake(fleet, "late", each, size)
+            apply_event_unless_suspended(fleet, "late", each, size)
 
 
-@then("no order of requests, late arrivals, deaths, starts, stops and suspensions exceeds it")
+@then(
+    "no sequence of requests, late arrivals, crashes, starts, stops and suspensions "
+    "exceeds the budget"
+)
 def any_order_suspended(context):
     names = st.one_of(ANY_EVENT, st.tuples(st.just("suspend"), *ANY_EVENT_SIZES))
 
@@ -253,22 +266,22 @@
         fleet = Fleet(context.routers)
         fleet.suspended = {}
         for event in events:
-            play_awake(fleet, *event)
-        fleet.advance(RESENT_MS * 2 + 3 * MOST_SIZE)
-        assert fleet.worst() <= 0, fleet.worst()
+            apply_event_unless_suspended(fleet, *event)
+        fleet.advance(RETRANSMISSION_MS * 2 + 3 * MAX_SIZE)
+        assert fleet.worst_excess() <= 0, fleet.worst_excess()
 
     check()
 
 
-@then("no order of requests, late arrivals, deaths, starts and stops exceeds it")
+@then("no sequence of requests, late arrivals, crashes, starts and stops exceeds the budget")
 def any_order(context):
     @settings(max_examples=1_000)
     @given_any(st.lists(ANY_EVENT, min_size=10, max_size=60))
     def check(events):
         fleet = Fleet(context.routers)
         for event in events:
-            play(fleet, *event)
-        fleet.advance(RESENT_MS * 2)
-        assert fleet.worst() <= 0, fleet.worst()
+            apply_event(fleet, *event)
+        fleet.advance(RETRANSMISSION_MS * 2)
+        assert fleet.worst_excess() <= 0, fleet.worst_excess()
 
     check()
--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -14,13 +14,16 @@
 from aspengate.telemetry import NullCounters
 from structure_steps import SOURCE
 
-READING = re.compile(r"\btime\.(monotonic|time|monotonic_ns|time_ns|clock_gettime|perf_counter)\(")
-# What is neither a daemon's nor decides anything: stand-ins, the demo and measurements.
-APART = {"clock", "demo", "standins", "experiments"}
+CLOCK_READ = re.compile(
+    r"\btime\.(monotonic|time|monotonic_ns|time_ns|clock_gettime|perf_counter)\("
+)
+# Packages that are not part of the daemons: stand-ins, the demo and experiments. The clock package
+# itself reads the clocks.
+EXEMPT = {"clock", "demo", "standins", "experiments"}
 
 
 class StoppedTime:
-    """The module ``time`` of a machine whose steady clock does not count some seconds."""
+    """Replaces the module ``time``, with a monotonic clock that does not count ``suspended_s``."""
 
     CLOCK_BOOTTIME = time.CLOCK_BOOTTIME
     CLOCK_MONOTONIC = time.CLOCK_MONOTONIC
@@ -41,7 +44,7 @@
         pass
 
 
-@given("a machine whose steady clock stands still while the others run for 5 s")
+@given("a machine whose monotonic clock stops while the other clocks advance by 5 s")
 def stopped_clock(context):
     context.stopped = StoppedTime()
     real = clock_module.time
@@ -51,7 +54,7 @@
     context.before_ms = context.clock.monotonic_ms()
 
 
-@then("the clock of the daemons has gone on by 5 s, and tells of a suspension of 5 s")
+@then("the daemons' clock has advanced by 5 s and reports a suspension of 5 s")
 def counted(context):
     before_ms = context.clock.suspended_ms()
     context.stopped.suspended_s = 5.0
@@ -59,7 +62,7 @@
     assert context.clock.suspended_ms() - before_ms == 5_000
 
 
-@given("a request that waits for its replica with a minute left")
+@given("a request that waits for its replica with one minute left until its deadline")
 def waiting_request(context):
     context.clock = ManualClock()
     ours, theirs = socket.socketpair()
@@ -84,43 +87,43 @@
     context.clock.advance(120_000)
 
 
-@then("the request's time is over within some seconds")
-def time_over(context):
+@then("the request fails with an expired deadline within 20 s")
+def deadline_expired(context):
     context.thread.join(20)
     assert context.ended == [ErrorKind.DEADLINE_EXCEEDED], context.ended
 
 
-@when("the sources are searched for readings of the system's clocks")
-def search_readings(context):
+@when("the sources are searched for direct reads of the system's clocks")
+def search_clock_reads(context):
     context.found = [
         (path.name, number)
         for path in SOURCE.rglob("*.py")
-        if not APART & set(path.relative_to(SOURCE).parts)
+        if not EXEMPT & set(path.relative_to(SOURCE).parts)
         for number, line in enumerate(path.read_text(encoding="utf-8").splitlines(), 1)
-        if READING.search(line)
+        if CLOCK_READ.search(line)
     ]
 
 
-@then("none is found but in the clock's package")
-def none_but_clock(context):
+@then("none is found outside the clock package")
+def none_outside_clock(context):
     assert not context.found, context.found
 
 
-@when("a router on it looks at its clock")
-def look_at_clock(context):
+@when("a router on it polls its clock")
+def poll_clock(context):
     from aspengate.gateway._suspension import SuspensionDetector
 
     context.counters = NullCounters()
     context.ended = []
-    watch = SuspensionDetector(context.clock, context.counters, lambda: context.ended.append(1))
-    watch.poll()
+    detector = SuspensionDetector(context.clock, context.counters, lambda: context.ended.append(1))
+    detector.poll()
     assert not context.ended
     context.stopped.suspended_s = 5.0
-    watch.poll()
-    watch.poll()
+    detector.poll()
+    detector.poll()
 
 
-@then("it ends the watches that wait, and a line and a counter tell for how long it was suspended")
+@then("it ends the pending watches, and a counter reports the length of the suspension")
 def watches_ended(context):
     assert context.ended == [1]
     assert context.counters.values["clock.suspended_ms"] == 5_000, context.counters.values
--- a/features/telemetry.feature
+++ b/features/telemetry.feature
@@ -11,13 +11,13 @@
     Then 5 lines are written, and one that 15 were dropped
 
   Scenario: Every request has one line that tells what decided
-    Given a gateway before two replicas of each service
+    Given a gateway with two replicas per service
     When requests are answered, refused, repeated and left by their callers
     Then each has one line with its id, outcome, attempts and version
     And no line holds a key, a body or a prompt
 
   Scenario: Figures can be scraped
-    Given a gateway before one replica of each service
+    Given a gateway with one replica per service
     When some requests are answered and refused
     Then the figures count them by outcome and tell the version in force
 
@@ -27,7 +27,7 @@
     Then the command prints both ends in order, and what was believed at that time
 
   Scenario: The decisions on repeats are told with what they went by
-    Given a gateway before two replicas of each service
+    Given a gateway with two replicas per service
     When receipts are asked for and every replica refuses them
     Then a line tells how many repeats were allowed and refused, the share and the routers
     And each request's line tells the decision on its own repeat
