--- a/features/foreign_entries.feature
+++ b/features/foreign_entries.feature
@@ -5,7 +5,7 @@
   # entries 13 were listed as ready, among them entries without slots or state, with port 99999,
   # with -1 slots, or cold for 1e300 ms.
   Scenario: A gateway skips unusable entries and continues to receive replicas
-    Given a gateway before one replica of each service
+    Given a gateway with one replica per service
     When other writers add unusable entries to the list of replicas
     Then none of them is listed, and a replica that registers later is
 
@@ -19,7 +19,7 @@
     Then the callback receives the second one, and the exception is counted
 
   Scenario: A replica whose entry another writer corrupts is no longer used
-    Given a gateway before two replicas of each service
+    Given a gateway with two replicas per service
     When another writer overwrites the entry of one of them
     Then that replica gets no more requests, and one log line reports the entry
 
--- a/features/gateway_configuration.feature
+++ b/features/gateway_configuration.feature
@@ -1,7 +1,7 @@
 Feature: The gateway applies the latest configuration and never an older one
 
   Scenario: Routes and keys are added and removed
-    Given a gateway before one replica of each service
+    Given a gateway with one replica per service
     When a route is added and a key is revoked
     Then the route is served and the key is refused with 401 soon
     And an unknown path gets 404 and a call without a key gets 401
@@ -12,12 +12,12 @@
     And it serves once the operator has written a configuration
 
   Scenario: A lower version does not replace a higher one
-    Given a gateway before one replica of each service
+    Given a gateway with one replica per service
     When a change has taken effect and the store then returns the previous version
     Then the change stays in effect
 
   Scenario: The state is read again after the store has compacted its history
-    Given a gateway before one replica of each service
+    Given a gateway with one replica per service
     When the store compacts its history while a route is added
     Then the route is served soon
 
@@ -38,12 +38,12 @@
     Then it is ready and serves
 
   Scenario: A replica that drains or is unlisted receives no more requests
-    Given a gateway before two replicas of each service
+    Given a gateway with two replicas per service
     When one portal replica drains and is then unlisted
     Then all receipts go to the other one
 
   Scenario: A new replica receives requests
-    Given a gateway before one replica of each service
+    Given a gateway with one replica per service
     When another portal replica is listed and the first one is unlisted
     Then all receipts go to the new one
 
--- a/features/leaving_and_resting.feature
+++ b/features/leaving_and_resting.feature
@@ -28,6 +28,6 @@
   # Guards against counting every relayed response as a success. A replica that failed all requests
   # at once kept attracting those that must not be executed twice.
   Scenario: A replica that fails non-retryable requests does not attract them
-    Given a gateway before two replicas of each service
+    Given a gateway with two replicas per service
     When one portal replica fails all requests, and 40 statuses are requested one after the other
     Then the failing one got at most a tenth of them, and callers received its failures unchanged
--- a/features/replica_statements.feature
+++ b/features/replica_statements.feature
@@ -52,7 +52,7 @@
     Then no incarnation is available after it reported leaving, or before its longest backoff ends
 
   Scenario Outline: The header applies on each kind of response
-    Given a gateway before two replicas of each service
+    Given a gateway with two replicas per service
     When <answer> reports that its replica is leaving
     Then the gateway logs it at once, sends no more requests, and keeps no idle connection to it
 
@@ -66,7 +66,7 @@
       | a run whose caller disconnected |
 
   Scenario Outline: A response that is not from the intended replica does not affect its state
-    Given a gateway before two replicas of each service
+    Given a gateway with two replicas per service
     When <answer> reports that its replica is leaving
     Then the gateway does not treat it as leaving
 
@@ -81,22 +81,22 @@
     Then the request goes to another replica without a second arrival, and its retry is returned
 
   Scenario: A resumable stream is not resumed at a replica that is leaving
-    Given a gateway before two replicas of each service
+    Given a gateway with two replicas per service
     When one engine reports that it is leaving, and a stream breaks at the other one
     Then the leaving engine gets no part of the stream
 
   Scenario: If all replicas back off, callers are refused with the end of the first backoff
-    Given a gateway before two replicas of each service
+    Given a gateway with two replicas per service
     When both portal replicas ask for a backoff, one for 3 s and one for 60 s
     Then the next receipt is refused at once and not sent, with a Retry-After of 3 to 4 s
     And the trace of that receipt shows both replicas and the backoffs that they asked for
 
   Scenario: If all replicas are leaving, callers are refused at once
-    Given a gateway before two replicas of each service
+    Given a gateway with two replicas per service
     When both portal replicas report that they are leaving
     Then the next receipt is refused at once and not sent, with a Retry-After of 2 s
 
   Scenario: Metrics count the replicas that are leaving and backing off
-    Given a gateway before two replicas of each service
+    Given a gateway with two replicas per service
     When one portal replica reports that it is leaving, and the other one asks for a 60 s backoff
     Then the metrics show one replica that is leaving and one that is backing off
