--- a/features/formats/write.py
+++ b/features/formats/write.py
@@ -1,6 +1,6 @@
-"""Prints one sample of each message and record, as a build writes it: python write.py SOURCE.
+"""Prints one sample of each message and record as a build writes it: python write.py SOURCE.
 
-It uses nothing of a build but its types, so that it runs against any landed one.
+It uses only the message and record types of a build, so that it runs against any landed build.
 """
 
 import enum
@@ -16,7 +16,7 @@
 
 
 def sample(kind):
-    """Return a value of a type, with every field set to something that is no default."""
+    """Return a value of a type with every field set to a value other than its default."""
     match kind:
         case inspect.StructType():
             names = {field.name: sample(field.type) for field in kind.fields}
@@ -46,14 +46,14 @@
 
 
 def datagrams():
-    """Return the kinds of datagrams of the build."""
+    """Return the datagram types of the build."""
     from aspengate.peers import _messages
 
     return typing.get_args(_messages.Datagram)
 
 
 def records():
-    """Return the kinds of records in the store of the build, by name."""
+    """Return the types of the build's records in the store, by name."""
     from aspengate.allowances._document import AllowanceDocument
     from aspengate.peers._members import Member
 
@@ -66,7 +66,7 @@
 
 
 def answers():
-    """Return the bodies of the calls between routers of the build, by name."""
+    """Return the types of the build's HTTP responses between routers, by name."""
     from aspengate.peers import _exchange
 
     names = {"mirror": "_MirrorBody", "ceilings": "_CeilingsBody"}
@@ -74,7 +74,7 @@
 
 
 def written():
-    """Return the bytes of a sample of everything, in hexadecimal, by where it goes and its name."""
+    """Return an encoded sample of each type in hexadecimal, by its place and name."""
     packed, text = msgspec.msgpack.encode, msgspec.json.encode
     return {
         "datagrams": {
@@ -90,13 +90,13 @@
 
 
 class Unreadable(enum.Enum):
-    """What is told where a build can't read something."""
+    """The result for a sample that a build cannot read."""
 
     UNREADABLE = "unreadable"
 
 
 def read(lines):
-    """Return what the build reads of samples that another one wrote, or that it can't."""
+    """Return the decoded samples of another build, or UNREADABLE for each that cannot be read."""
     kinds = {"records": records(), "answers": answers()}
     found = {}
     for place, samples in lines.items():
@@ -124,7 +124,7 @@
 
 
 def main():
-    """Print the samples of a build; with ``read`` what it reads of those on standard input."""
+    """Print the samples of a build, or with ``read`` its decoding of those on standard input."""
     sys.path.insert(0, sys.argv[1])
     result = read(json.load(sys.stdin)) if sys.argv[2:] == ["read"] else written()
     json.dump(result, sys.stdout, indent=1, sort_keys=True)
--- a/features/leadership.feature
+++ b/features/leadership.feature
@@ -1,93 +1,94 @@
-Feature: One router of each failure domain follows the store for the others there
+Feature: One router of each failure domain watches the store and updates the others
 
-  Scenario: Of many routers one leads each failure domain, and two at least lead
+  Scenario: Each of several failure domains has one leader
     Given 12 routers in 3 failure domains that start together
-    When they have told each other of themselves for 2 seconds
-    Then each failure domain has one leader, and all others rest
+    When they have exchanged status messages for 2 seconds
+    Then each failure domain has one leader, and all others receive changes from it
     And all routers choose the same primary for each account, one of the leaders
 
-  Scenario: The routers of one failure domain follow the store by two
+  Scenario: A fleet of a single failure domain has two leaders
     Given 5 routers in 1 failure domains that start together
-    When they have told each other of themselves for 2 seconds
+    When they have exchanged status messages for 2 seconds
     Then 2 of them lead
 
-  Scenario: Of instances of two sizes a large one leads, also where a small one began
+  Scenario: A router on a larger instance takes over from a leader on a smaller one
     Given 12 routers in 3 failure domains that start together
-    And they have told each other of themselves for 2 seconds
-    When one that rests in each failure domain starts again on a larger instance
+    And they have exchanged status messages for 2 seconds
+    When one follower in each failure domain restarts on a larger instance
     Then each failure domain is led by the larger instance, and by no other
 
   Scenario Outline: A leader that <trouble> is replaced in time
     Given 12 routers in 3 failure domains that start together
-    And they have told each other of themselves for 2 seconds
+    And they have exchanged status messages for 2 seconds
     When one leader "<trouble>"
-    Then its failure domain is led by another one within 1700 milliseconds
-    And few routers have asked the store in between
+    Then its failure domain is led by another router within 1700 milliseconds
+    And few routers have called the store in between
 
     Examples:
-      | trouble        |
-      | falls silent   |
-      | lost the store |
-      | stops          |
+      | trouble              |
+      | becomes unresponsive |
+      | loses the store      |
+      | stops                |
 
-  Scenario: While the store answers nobody those that led keep what they drew, and lead again
+  Scenario: Leaders stay the primaries of accounts during a store outage, and lead after it
     Given 12 routers in 3 failure domains that start together
-    And they have told each other of themselves for 2 seconds
-    When the store answers nobody for 8 seconds
-    Then the primaries stay those that led
+    And they have exchanged status messages for 2 seconds
+    When the store answers no router for 8 seconds
+    Then the primaries are the same as before
     And each failure domain has one leader once the store is back
 
-  Scenario: A mirror takes over what a leader tells, and nothing that leaves a gap
-    Given a mirror that was told of all items up to revision 10
-    When it is told of a change after revision 10 and of one that follows an unknown one
-    Then it knows the first one, and fetches for the second
+  Scenario: A mirror applies reported changes unless they leave a gap
+    Given a mirror that has all items up to revision 10
+    When it receives a change after revision 10 and one after a revision that it does not have
+    Then it applies the first one, and rejects the second
 
-  Scenario: What was removed before a list is known to be gone
+  Scenario: The revision of a list covers removals after its newest item
     Given a mirror of a store whose list is as of revision 20
-    When it has listed the items
-    Then it counts revision 20 as its newest change
+    When the mirror has read the list
+    Then its newest change is revision 20
 
-  Scenario: A resting router makes no call and hears of changes
+  Scenario: A follower makes no call to the store and still receives changes
     Given a fleet of three gateways in one failure domain
-    When a key is taken away and a replica is listed
-    Then all three know of both soon, and one of them watched nothing
-
-  # The leaders' connections to the store went silent without an end, while the third router's did
-  # not. Their watches noticed it after three seconds of keep-alive, or never where the system of
-  # the store still answers that; until then they told that the store answers them, and the third
-  # one rested behind them: store.followed_alone came 3.4 s after the silence, and a key that had
-  # been taken away 2.0 s ago was still known.
-  Scenario: A router that rests hears of a change though its leaders' connections fell silent
+    When a key is revoked and a replica is listed
+    Then all three apply both soon, and one of them has never led
+
+  # The leaders' connections to the store stopped delivering data without being closed. Their
+  # watches detected it after three seconds of keep-alive, or never if the store's operating system
+  # still answers that. Until then they reported that the store answers them, so that the third
+  # router relied on them: it logged store.followed_alone only 3.4 s after the connections failed,
+  # and still accepted a key 2.0 s after it had been revoked.
+  Scenario: A follower receives a change although its leaders' connections deliver no data
     Given a fleet of three gateways in one failure domain
-    When the store says nothing more to the two that lead, and a key is taken away
-    Then the third one knows of it within 10 seconds
-
-  # A router that started while the store was slow was heard of by the others, and heard of them,
-  # up to 3.8 s later: the loop that tells of it waited for each call that lists it.
-  Scenario: A router that the store does not answer tells of itself all the same
-    Given a seed that listens
-    When a router starts whose store says nothing, and four of its calls are given up
-    Then the seed was told of it six times or more
-
-  Scenario: A router that missed something fetches what has changed, and not the whole list
-    Given a router that knows a list of 3,000 replicas, and one that missed the last changes
-    When the second one asks the first for what it missed
-    Then it gets the changes alone, and knows the same list
-
-  Scenario: A router that missed more than is remembered fetches the whole list
-    Given a router that knows a list of 3,000 replicas, and one that knows nothing
-    When the second one asks the first for what it missed
-    Then it gets the whole list, and knows the same list
-
-  Scenario: Changes of many replicas are told in several messages that leave no gap
-    Given a router that knows a list of 3,000 replicas, and one that missed nothing
-    When 1,000 replicas change at once and the first one tells of it
-    Then every message fits into a datagram, and the second one knows the same list
-    And a router that missed one of the messages notices it
-
-  Scenario Outline: A whole list is encoded once for all that ask together
-    Given a router that knows a list as of history <era> of the store
-    When two that know nothing ask it for the list
+    When the store sends no more data to the two leaders, and a key is revoked
+    Then the third router applies that version within 10 seconds
+
+  # The loop that sends status messages used to wait for each call that lists the router in the
+  # store. If the store was slow, a starting router and the others detected each other up to 3.8 s
+  # late.
+  Scenario: A router that the store does not answer sends status messages nevertheless
+    Given a seed that receives messages
+    When a router starts whose store does not answer, and has made four calls
+    Then the seed has received at least six messages
+
+  Scenario: A router that missed changes fetches these, and not the whole list
+    Given a router with a list of 3,000 replicas, and one that missed the last changes
+    When the second router fetches what it missed from the first
+    Then it gets only the changes, and has the same list
+
+  Scenario: A router that missed more changes than its peer retains fetches the whole list
+    Given a router with a list of 3,000 replicas, and one without a list
+    When the second router fetches what it missed from the first
+    Then it gets the whole list, and has the same list
+
+  Scenario: Changes of many replicas are sent in several messages without a gap
+    Given a router with a list of 3,000 replicas, and one that is up to date
+    When 1,000 replicas change at once and the first router reports it
+    Then every message fits into a datagram, and the second router has the same list
+    And a router that missed one of the messages detects it
+
+  Scenario Outline: A whole list is encoded once for routers that ask at the same time
+    Given a router with a list as of era <era> of the store
+    When two routers without a list ask it for the list
     Then both get the same bytes, which were encoded once
 
     Examples:
--- a/features/steps/leadership_steps.py
+++ b/features/steps/leadership_steps.py
@@ -1,4 +1,4 @@
-"""Steps on routers that lead their failure domain, and on those that rest meanwhile."""
+"""Steps on leaders of failure domains and the routers that receive changes from them."""
 
 from behave import given, then, when
 from platform_standins import Fleet
@@ -10,41 +10,45 @@
 from aspengate.telemetry import NullCounters
 from gateway_world import start_gateways
 
-BEAT_MS = 300
+STATUS_INTERVAL_MS = 300
 STEP_MS = 50
 
 
 class Router:
-    """One router's view of the others; its own watches are answered while ``reaches`` holds."""
+    """Simulates a router; the store answers its watches while ``reaches_store`` is true.
+
+    ``store_calls`` counts its calls that start to watch the store, and ``watches_answered`` is
+    whether the store answered the last one.
+    """
 
     def __init__(self, name, domain, clock, capacity=128):
         self.name = name
         own = Member(name, f"10.0.0.1:{name}", f"{name}.{capacity}", domain, capacity)
         self.members = MemberList(own, clock)
         self.leadership = DomainLeadership(self.members, clock)
-        self.reaches = True
+        self.reaches_store = True
         self.running = True
-        self.asked = 0
-        self.proven = False
+        self.store_calls = 0
+        self.watches_answered = False
 
     @property
     def connected(self):
-        return self.proven or self.leadership.mode is MirrorMode.TOLD
+        return self.watches_answered or self.leadership.mode is MirrorMode.TOLD
 
-    def look(self):
+    def update(self):
         before = self.leadership.mode
-        self.leadership.update(connected=self.proven)
+        self.leadership.update(connected=self.watches_answered)
         if self.leadership.mode is not MirrorMode.FOLLOWING:
-            self.proven = False
-        elif before is not MirrorMode.FOLLOWING or not self.proven:
-            self.asked += 1
-            self.proven = self.reaches
-        elif not self.reaches:
-            self.proven = False
+            self.watches_answered = False
+        elif before is not MirrorMode.FOLLOWING or not self.watches_answered:
+            self.store_calls += 1
+            self.watches_answered = self.reaches_store
+        elif not self.reaches_store:
+            self.watches_answered = False
 
 
-class Routers:
-    """Routers that start together and tell each other of themselves, one beat after the other."""
+class SimulatedFleet:
+    """Simulates routers that start together and send status messages at regular intervals."""
 
     def __init__(self, count, domains):
         self.clock = ManualClock()
@@ -67,11 +71,11 @@
         for step in range(int(milliseconds // STEP_MS)):
             self.clock.advance(STEP_MS)
             for number, router in enumerate(self.routers):
-                if router.running and (step + number) % (BEAT_MS // STEP_MS) == 0:
-                    router.look()
-                    self.tell(router)
+                if router.running and (step + number) % (STATUS_INTERVAL_MS // STEP_MS) == 0:
+                    router.update()
+                    self.send_status(router)
 
-    def tell(self, router):
+    def send_status(self, router):
         for other in self.routers:
             if other.running and other is not router:
                 other.members.record_status(
@@ -87,7 +91,7 @@
             for each in self.routers
             if each.running
             and each.members.leads
-            and each.proven
+            and each.watches_answered
             and each.members.own.failure_domain == domain
         ]
 
@@ -104,23 +108,23 @@
 
 
 @given("{count:d} routers in {domains:d} failure domains that start together")
-def routers(context, count, domains):
-    context.routers = Routers(count, domains)
+def start_routers(context, count, domains):
+    context.routers = SimulatedFleet(count, domains)
 
 
-@given("they have told each other of themselves for {seconds:d} seconds")
-@when("they have told each other of themselves for {seconds:d} seconds")
-def told(context, seconds):
+@given("they have exchanged status messages for {seconds:d} seconds")
+@when("they have exchanged status messages for {seconds:d} seconds")
+def exchange_status_messages(context, seconds):
     context.routers.run(seconds * 1_000)
 
 
-@then("each failure domain has one leader, and all others rest")
+@then("each failure domain has one leader, and all others receive changes from it")
 def one_leader(context):
     fleet = context.routers
     for domain in fleet.domains:
         assert len(fleet.leaders(domain)) == 1, (domain, fleet.leaders(domain))
-    resting = [each for each in fleet.routers if each.leadership.mode is MirrorMode.TOLD]
-    assert len(resting) == len(fleet.routers) - len(fleet.domains)
+    followers = [each for each in fleet.routers if each.leadership.mode is MirrorMode.TOLD]
+    assert len(followers) == len(fleet.routers) - len(fleet.domains)
 
 
 @then("all routers choose the same primary for each account, one of the leaders")
@@ -133,13 +137,13 @@
 
 
 @then("{count:d} of them lead")
-def so_many_lead(context, count):
+def check_leader_count(context, count):
     fleet = context.routers
     assert len(fleet.leaders(fleet.domains[0])) == count
 
 
-@when("one that rests in each failure domain starts again on a larger instance")
-def larger_starts(context):
+@when("one follower in each failure domain restarts on a larger instance")
+def restart_on_larger(context):
     fleet = context.routers
     context.larger = {}
     for domain in fleet.domains:
@@ -148,12 +152,12 @@
             for number, each in enumerate(fleet.routers)
             if each.members.own.failure_domain == domain and not each.members.leads
         )
-        again = Router(old.name, domain, fleet.clock, capacity=552)
-        again.members.update(
+        restarted = Router(old.name, domain, fleet.clock, capacity=552)
+        restarted.members.update(
             Snapshot(tuple(fleet.record(each.members.own) for each in fleet.routers), 1)
         )
-        fleet.routers[number] = again
-        context.larger[domain] = again
+        fleet.routers[number] = restarted
+        context.larger[domain] = restarted
     fleet.run(3_000)
 
 
@@ -168,49 +172,49 @@
 def leader_trouble(context, trouble):
     fleet = context.routers
     context.domain = fleet.domains[0]
-    context.asked = sum(each.asked for each in fleet.routers)
+    context.store_calls_before = sum(each.store_calls for each in fleet.routers)
     leader = fleet.leaders(context.domain)[0]
-    if trouble == "lost the store":
-        leader.reaches = False
+    if trouble == "loses the store":
+        leader.reaches_store = False
     elif trouble == "stops":
         leader.members.leads = False
-        fleet.tell(leader)
+        fleet.send_status(leader)
         leader.running = False
     else:
         leader.running = False
 
 
-@then("its failure domain is led by another one within {milliseconds:d} milliseconds")
-def led_again(context, milliseconds):
+@then("its failure domain is led by another router within {milliseconds:d} milliseconds")
+def check_replaced(context, milliseconds):
     context.routers.run(milliseconds)
     assert len(context.routers.leaders(context.domain)) >= 1
     context.routers.run(1_000)
     assert len(context.routers.leaders(context.domain)) == 1
 
 
-@then("few routers have asked the store in between")
-def few_asked(context):
+@then("few routers have called the store in between")
+def check_few_calls(context):
     fleet = context.routers
-    trying = [each for each in fleet.routers if each.running and each.reaches]
-    asked = sum(each.asked for each in trying) - context.asked
-    assert asked <= 3, asked
+    connected = [each for each in fleet.routers if each.running and each.reaches_store]
+    calls = sum(each.store_calls for each in connected) - context.store_calls_before
+    assert calls <= 3, calls
 
 
-@when("the store answers nobody for {seconds:d} seconds")
-def nobody(context, seconds):
+@when("the store answers no router for {seconds:d} seconds")
+def interrupt_store(context, seconds):
     fleet = context.routers
-    context.before = fleet.primaries(fleet.routers[0])
+    context.primaries_before = fleet.primaries(fleet.routers[0])
     for each in fleet.routers:
-        each.reaches = False
+        each.reaches_store = False
     fleet.run(seconds * 1_000)
-    context.meanwhile = {tuple(fleet.primaries(router)) for router in fleet.routers}
+    context.primaries_during = {tuple(fleet.primaries(router)) for router in fleet.routers}
     for each in fleet.routers:
-        each.reaches = True
+        each.reaches_store = True
 
 
-@then("the primaries stay those that led")
+@then("the primaries are the same as before")
 def primaries_stay(context):
-    assert context.meanwhile == {tuple(context.before)}, context.meanwhile
+    assert context.primaries_during == {tuple(context.primaries_before)}, context.primaries_during
 
 
 @then("each failure domain has one leader once the store is back")
@@ -223,8 +227,8 @@
     return StoreItem(key, b"{}", revision)
 
 
-@given("a mirror that was told of all items up to revision 10")
-def told_mirror(context):
+@given("a mirror that has all items up to revision 10")
+def create_mirror(context):
     context.changes = []
     context.mirror = StoreMirror(
         None, "a/", SystemClock(), NullCounters(), context.changes.append, 20_000
@@ -232,25 +236,25 @@
     context.mirror.apply_snapshot(Snapshot((item("a/1", 4), item("a/2", 9)), 10, 10))
 
 
-@when("it is told of a change after revision 10 and of one that follows an unknown one")
-def told_changes(context):
+@when("it receives a change after revision 10 and one after a revision that it does not have")
+def receive_changes(context):
     mirror = context.mirror
-    context.taken = [
+    context.applied = [
         mirror.apply_changes(10, Changes((item("a/3", 14),), (Removal("a/1", 15),), 15)),
         mirror.apply_changes(18, Changes((item("a/4", 19),), (), 19)),
         mirror.apply_changes(9, Changes((item("a/2", 9),), (), 12)),
     ]
 
 
-@then("it knows the first one, and fetches for the second")
-def knows_first(context):
-    assert context.taken == [True, False, True], context.taken
+@then("it applies the first one, and rejects the second")
+def check_first_applied(context):
+    assert context.applied == [True, False, True], context.applied
     assert sorted(context.mirror.state.items) == ["a/2", "a/3"]
     assert context.mirror.state.revision == 15
 
 
 class ListedStore:
-    """Its list is as of revision 20 though its newest item is older; watches wait."""
+    """A store whose list is as of revision 20 although its newest item is older; watches wait."""
 
     era = StoreEra()
 
@@ -269,33 +273,33 @@
     context.cleanup.callback(context.mirror.close)
 
 
-@when("it has listed the items")
-def has_listed(context):
+@when("the mirror has read the list")
+def read_list(context):
     context.mirror.start()
     assert eventually(lambda: context.mirror.state.revision)
 
 
-@then("it counts revision 20 as its newest change")
+@then("its newest change is revision 20")
 def newest_change(context):
     assert context.mirror.state.changed_revision == 20, context.mirror.state
 
 
 @given("a fleet of three gateways in one failure domain")
-def three_gateways(context):
+def start_three_gateways(context):
     start_gateways(context, routers=3)
     third = context.fleet.routers[2]
     assert eventually(lambda: third.find("domain.leader_heard")), third.lines
 
 
-@when("a key is taken away and a replica is listed")
-def key_and_replica(context):
+@when("a key is revoked and a replica is listed")
+def revoke_key_and_list_replica(context):
     operator = context.fleet.operator
     context.version = operator.revoke("key-two")
     context.replica = context.fleet.add_replica("portal")
 
 
-@then("all three know of both soon, and one of them watched nothing")
-def know_both(context):
+@then("all three apply both soon, and one of them has never led")
+def check_both_applied(context):
     for router in context.fleet.routers:
         assert eventually(lambda: router.find("replica.listed", replica=context.replica.identity))  # noqa: B023
         assert eventually(lambda: router.find("configuration.applied", version=context.version))  # noqa: B023
@@ -303,32 +307,32 @@
     assert third.find("domain.led") is None, third.lines
 
 
-@when("the store says nothing more to the two that lead, and a key is taken away")
-def leaders_unheard(context):
+@when("the store sends no more data to the two leaders, and a key is revoked")
+def mute_leaders_store(context):
     for router in context.fleet.routers[:2]:
         router.door.fault = "mute"
     context.version = context.fleet.operator.revoke("key-two")
 
 
-@then("the third one knows of it within 10 seconds")
-def third_knows(context):
+@then("the third router applies that version within 10 seconds")
+def check_third_applied(context):
     third = context.fleet.routers[2]
     applied = eventually(lambda: third.find("configuration.applied", version=context.version), 10)
     assert applied, third.lines[-10:]
 
 
-@given("a seed that listens")
-def listening_seed(context):
-    context.told = []
+@given("a seed that receives messages")
+def start_seed(context):
+    context.received = []
     context.seed = DatagramPort(
-        "127.0.0.1:0", NullCounters(), lambda message, _: context.told.append(message)
+        "127.0.0.1:0", NullCounters(), lambda message, _: context.received.append(message)
     )
     context.seed.start()
     context.cleanup.callback(context.seed.close)
 
 
-@when("a router starts whose store says nothing, and four of its calls are given up")
-def unanswered(context):
+@when("a router starts whose store does not answer, and has made four calls")
+def start_without_store(context):
     fleet = context.fleet = Fleet(context.cleanup)
     door = fleet.store.open_door()
     door.fault = "mute"
@@ -337,6 +341,6 @@
     assert eventually(lambda: door.calls["POST /kv-txn"] >= 4)
 
 
-@then("the seed was told of it six times or more")
-def told_often(context):
-    assert len(context.told) >= 6, context.told
+@then("the seed has received at least six messages")
+def check_messages_received(context):
+    assert len(context.received) >= 6, context.received
--- a/features/steps/mirror_changes_steps.py
+++ b/features/steps/mirror_changes_steps.py
@@ -69,25 +69,25 @@
         return body
 
 
-@given("a router that knows a list of 3,000 replicas, and one that missed the last changes")
+@given("a router with a list of 3,000 replicas, and one that missed the last changes")
 def missed_some(context):
     context.first, context.second = told(whole()), told(whole())
     change(context.first, 10, 3, removed=(7, 8))
     change(context.first, 7, 1)
 
 
-@given("a router that knows a list of 3,000 replicas, and one that knows nothing")
+@given("a router with a list of 3,000 replicas, and one without a list")
 def knows_nothing(context):
     context.first, context.second = told(whole()), mirror()
 
 
-@given("a router that knows a list as of history {era:d} of the store")
+@given("a router with a list as of era {era:d} of the store")
 def knows_in_history(context, era):
     revision = make_revision(era, 1)
     context.first = told(Snapshot((StoreItem(key(1), RECORD, revision),), revision, revision))
 
 
-@when("two that know nothing ask it for the list")
+@when("two routers without a list ask it for the list")
 def two_ask(context):
     application = PeerApplication({PREFIX: context.first}, None)
     environ = {"PATH_INFO": "/mirror", "QUERY_STRING": f"prefix={PREFIX}&since=0&era=0"}
@@ -100,12 +100,12 @@
     assert first is second
 
 
-@given("a router that knows a list of 3,000 replicas, and one that missed nothing")
+@given("a router with a list of 3,000 replicas, and one that is up to date")
 def missed_nothing(context):
     context.first, context.second = told(whole()), told(whole())
 
 
-@when("the second one asks the first for what it missed")
+@when("the second router fetches what it missed from the first")
 def asks(context):
     client = DirectClient(PeerApplication({PREFIX: context.first}, None))
     context.since = context.second.state.revision
@@ -113,14 +113,14 @@
     context.answer_bytes = client.answer_bytes
 
 
-@then("it gets the changes alone, and knows the same list")
+@then("it gets only the changes, and has the same list")
 def changes_alone(context):
     assert isinstance(context.found, Changes) and context.answer_bytes < 2_000
     assert context.second.apply_changes(context.since, context.found)
     same_list(context)
 
 
-@then("it gets the whole list, and knows the same list")
+@then("it gets the whole list, and has the same list")
 def whole_list(context):
     assert isinstance(context.found, Snapshot)
     assert context.second.apply_snapshot(context.found)
@@ -132,7 +132,7 @@
     assert context.second.state.revision == context.first.state.revision
 
 
-@when("1,000 replicas change at once and the first one tells of it")
+@when("1,000 replicas change at once and the first router reports it")
 def many_change(context):
     after, changes = change(context.first, 100, 1_000, removed=range(2_000, 2_200))
     context.messages = list(_messages(PREFIX, after, changes))
@@ -142,7 +142,7 @@
     return made.apply_changes(message.base_revision, message.changes())
 
 
-@then("every message fits into a datagram, and the second one knows the same list")
+@then("every message fits into a datagram, and the second router has the same list")
 def fits(context):
     assert len(context.messages) > 1
     for message in context.messages:
@@ -151,7 +151,7 @@
     same_list(context)
 
 
-@then("a router that missed one of the messages notices it")
+@then("a router that missed one of the messages detects it")
 def notices(context):
     third = told(whole())
     assert take(third, context.messages[0])
--- a/features/steps/upgrades_steps.py
+++ b/features/steps/upgrades_steps.py
@@ -1,4 +1,4 @@
-"""Steps on routers of two builds side by side."""
+"""Steps on routers of different builds that run in one fleet."""
 
 import json
 import socket
@@ -25,68 +25,74 @@
 
 
 @given("the messages and records that build {build} wrote")
-def landed_formats(context, build):
+def load_landed_formats(context, build):
     context.written = json.loads((FORMATS / f"{build}.json").read_text(encoding="utf-8"))
 
 
-def raw(place, data):
-    """Return a message as it is on the wire, without any type."""
+def decode_untyped(place, data):
+    """Decode a message or record without its type."""
     codec = msgspec.json if place == "records" else msgspec.msgpack
     return msgspec.to_builtins(codec.decode(bytes.fromhex(data)))
 
 
-def holds(found, wrote):
-    """Return whether what was read holds all that was written, whatever else it has."""
-    if isinstance(wrote, dict):
-        return all(name in found and holds(found[name], value) for name, value in wrote.items())
-    if isinstance(wrote, list):
-        pairs = zip(found, wrote, strict=False)
-        return len(found) >= len(wrote) and all(holds(*each) for each in pairs)
-    return found == wrote
+def contains(found, written):
+    """Return whether ``found`` has all fields and values of ``written``, and possibly more."""
+    if isinstance(written, dict):
+        return all(
+            name in found and contains(found[name], value) for name, value in written.items()
+        )
+    if isinstance(written, list):
+        pairs = zip(found, written, strict=False)
+        return len(found) >= len(written) and all(contains(*each) for each in pairs)
+    return found == written
 
 
-@then("today's build reads all of them and loses no field")
-def read_today(context):
+@then("the current build reads all of them without losing a field")
+def check_current_reads(context):
     found = write.read(context.written)
     for place, samples in context.written.items():
         for name, data in samples.items():
-            assert holds(found[place][name], raw(place, data)), (place, name, found[place][name])
+            assert contains(found[place][name], decode_untyped(place, data)), (
+                place,
+                name,
+                found[place][name],
+            )
 
 
 @given("the build that landed last, from the history")
-def last_landed(context):
+def find_last_landed(context):
     context.build = skip_without(context.scenario, LAST_LANDED)
 
 
-@when("today's build writes a sample of each message and record")
+@when("the current build writes a sample of each message and record")
 def write_samples(context):
     context.written = write.written()
 
 
-@then("that build reads all that it knows, and takes what it does not know for unreadable")
-def read_by_last(context):
+@then("that build reads all kinds that it has, and reports the others as unreadable")
+def check_last_landed_reads(context):
     command = [sys.executable, str(FORMATS / "write.py"), str(context.build / "src"), "read"]
     text = json.dumps(context.written)
-    done = subprocess.run(command, input=text, capture_output=True, text=True, check=True)
-    found = json.loads(done.stdout)
+    completed = subprocess.run(command, input=text, capture_output=True, text=True, check=True)
+    found = json.loads(completed.stdout)
     landed = json.loads((FORMATS / f"{LAST_LANDED}.json").read_text(encoding="utf-8"))
     for place, samples in context.written.items():
         for name, data in samples.items():
             if name not in landed[place]:
                 assert found[place][name] == write.Unreadable.UNREADABLE.value, name
                 continue
-            known = raw(place, landed[place][name])
-            assert holds(found[place][name], known), (place, name, found[place][name])
+            expected = decode_untyped(place, landed[place][name])
+            assert contains(found[place][name], expected), (place, name, found[place][name])
             assert data
 
 
-def build_of(context, name):
+def find_build(context, name):
     return ROOT if name == "today" else skip_without(context.scenario, name)
 
 
-def start_of(context, build, routers):
-    """Start gateways of a build before replicas; return none where the history lacks it."""
-    found = build_of(context, build)
+def start_fleet(context, build, routers):
+    """Start replicas and gateways of a build; return no gateways if git does not have the build."""
+    found = find_build(context, build)
     if found is None:
         return []
     context.fleet = Fleet(context.cleanup)
@@ -98,14 +104,14 @@
     return context.fleet.routers
 
 
-@given("a gateway of {build} that serves, and replicas")
-def one_serves(context, build):
-    start_of(context, build, 1)
+@given("a gateway of build {build} that serves, and replicas")
+def start_one(context, build):
+    start_fleet(context, build, 1)
 
 
-@when("a gateway of {build} starts next to it whose store does not answer")
-def other_starts(context, build):
-    found = build_of(context, build)
+@when("a gateway of build {build} starts next to it whose store does not answer")
+def start_other(context, build):
+    found = find_build(context, build)
     if found is None:
         return
     door = context.fleet.store.open_door()
@@ -117,13 +123,13 @@
 
 
 @then("it is ready, and serves")
-def other_serves(context):
+def check_other_serves(context):
     assert eventually(context.other.is_ready, 15.0), context.other.lines[-5:]
     assert get_status(context.other, "/receipt/1") == 200
 
 
-@then("it learns the list of replicas from the other one, and is not ready")
-def learns_replicas(context):
+@then("it gets the list of replicas from the other one, and is not ready")
+def check_has_replicas(context):
     assert eventually(lambda: context.other.find("replica.listed", service="portal"), 15.0)
     assert eventually(lambda: context.other.find("mirror.from_peer", prefix="servers/"), 15.0)
     assert not context.other.is_ready()
@@ -131,42 +137,44 @@
 
 
 @then("it serves as soon as its store answers")
-def serves_with_store(context):
+def check_serves_with_store(context):
     context.door.mend()
-    other_serves(context)
+    check_other_serves(context)
 
 
-@given("two gateways of {build} that lead, and replicas")
-def two_lead(context, build):
-    for router in start_of(context, build, 2):
+@given("two gateways of build {build} that lead, and replicas")
+def start_two_leaders(context, build):
+    for router in start_fleet(context, build, 2):
         assert eventually(lambda: router.find("domain.led")), router.lines  # noqa: B023
 
 
-@when("one of today starts next to them, and a record of a request that ends replicas is written")
-def record_written(context):
+@when(
+    "one of the current build starts next to them, and a request that crashes replicas is recorded"
+)
+def start_and_write_record(context):
     context.other = context.fleet.add_router()
-    # It settles whom to rest behind within a second.
+    # It accepts a leader within a second.
     time.sleep(2.0)
     record = CrashRecord(ends=("i-1", "i-2"), tries=1)
     context.fleet.store.put(f"{RECORD_PREFIX}{'ab' * 16}", msgspec.to_builtins(record))
 
 
-@then("it knows that record")
-def knows_record(context):
-    def known():
+@then("it has that record")
+def check_has_record(context):
+    def is_counted():
         text = Caller(context.other.metrics_address).request("GET", "/metrics").body.decode()
         return 'what="crash_records"} 1.0' in text
 
-    assert eventually(known, 10.0), context.other.lines[-3:]
+    assert eventually(is_counted, 10.0), context.other.lines[-3:]
 
 
-@when("a gateway of {build} starts next to them, and a key is revoked after it is ready")
-def key_revoked_later(context, build):
-    found = build_of(context, build)
+@when("a gateway of build {build} starts next to them, and a key is revoked after it is ready")
+def start_and_revoke_key(context, build):
+    found = find_build(context, build)
     if found is None or not hasattr(context, "fleet"):
         return
     context.fleet.add_router(build=found)
-    # It settles whom to rest behind within a second.
+    # It accepts a leader within a second.
     time.sleep(2.0)
     context.version = context.fleet.operator.revoke("key-two")
     context.changed_s = time.monotonic()
@@ -181,14 +189,14 @@
             if not router.find("configuration.applied", version=context.version)
         ]
 
-    # Whatever applies it later is late; how long the look itself takes does not count.
+    # The deadline counts from the revocation; the duration of this check does not count.
     eventually(lambda: not behind(), context.changed_s + seconds - time.monotonic())
     assert not behind(), (behind(), context.fleet.routers[-1].lines[-5:])
 
 
-@when("a gateway of {build} that has rested behind them is left alone, and a key is revoked")
-def left_alone(context, build):
-    found = build_of(context, build)
+@when("a gateway of build {build} that has followed them is left alone, and a key is revoked")
+def kill_leaders(context, build):
+    found = find_build(context, build)
     if found is None:
         return
     first, second = context.fleet.routers
@@ -202,20 +210,20 @@
 
 
 @then("it applies that version")
-def applies_version(context):
+def check_applies_version(context):
     (last,) = context.fleet.routers
     applied = eventually(lambda: last.find("configuration.applied", version=context.version), 10.0)
     assert applied, last.lines[-5:]
 
 
 def score(router):
-    """Ask for a scored essay; return the status."""
+    """Request a scored essay; return the response's status."""
     fields = {"body": b"x", "tokens": (1_000, 500), "deadline_ms": 10_000}
     return router.call().request("POST", f"/score/{time.monotonic_ns()}", **fields).status
 
 
-@given("a gateway of today that has spent an account")
-def account_spent(context):
+@given("a gateway of the current build that has used up an account")
+def use_up_account(context):
     context.fleet = Fleet(context.cleanup)
     context.fleet.operator.set_prepaid("board", 5_000)
     for service in ("portal", "engine"):
@@ -224,9 +232,9 @@
     assert eventually(lambda: score(router) == 402, 20.0)
 
 
-@when("a gateway of {build} replaces it, and the account's limit is raised")
-def replaced_and_raised(context, build):
-    found = build_of(context, build)
+@when("a gateway of build {build} replaces it, and the account's limit is raised")
+def replace_and_raise_limit(context, build):
+    found = find_build(context, build)
     if found is None:
         return
     before = context.fleet.routers[0]
@@ -238,16 +246,16 @@
 
 
 @then("requests of the account are served again")
-def served_again(context):
+def check_served_again(context):
     router = context.fleet.routers[0]
     assert eventually(lambda: score(router) == 200, 10.0), router.lines[-5:]
 
 
-@when("a gateway of today that is called {name} starts next to it")
-def named_starts(context, name):
+@when("a gateway of the current build named {name} starts next to it")
+def start_named(context, name):
     if not hasattr(context, "fleet"):
         return
-    # As the build step leaves it: the sources, and the name beside them.
+    # The layout that the build step makes: the sources, and a file with the name.
     root = Path(context.cleanup.enter_context(tempfile.TemporaryDirectory()))
     (root / "src").symlink_to(ROOT / "src")
     for folder in ("deploy", "target"):
@@ -258,25 +266,25 @@
     context.other = context.fleet.add_router(build=root)
 
 
-@then("its start line, its member record and its figures name {name}, and count one router untold")
-def named(context, name):
+@then("its start line, member record and metrics name {name}, and count one router as untold")
+def check_build_reported(context, name):
     assert context.other.find("gateway.started")["build"] == name
     record = context.fleet.store.value(f"{MEMBER_PREFIX}router-2")
     assert record["build"] == name, record
 
-    def told():
+    def is_counted():
         text = Caller(context.other.metrics_address).request("GET", "/metrics").body.decode()
-        wanted = (f'what="routers_build_{name}"}} 1.0', 'what="routers_build_untold"} 1.0')
-        return all(each in text for each in wanted)
+        expected = (f'what="routers_build_{name}"}} 1.0', 'what="routers_build_untold"} 1.0')
+        return all(each in text for each in expected)
 
-    assert eventually(told, 10.0)
+    assert eventually(is_counted, 10.0)
 
 
 @given("a port for messages between routers")
-def message_port(context):
-    context.counters, context.heard = NullCounters(), []
+def open_port(context):
+    context.counters, context.received = NullCounters(), []
     context.port = DatagramPort(
-        "127.0.0.1:0", context.counters, lambda message, _: context.heard.append(message)
+        "127.0.0.1:0", context.counters, lambda message, _: context.received.append(message)
     )
     context.cleanup.callback(context.port.close)
     context.lines = []
@@ -291,8 +299,8 @@
         sender.sendto(data, (host, int(port)))
 
 
-@when("another build sends it 5 messages of each of two unknown kinds and 3 that are none")
-def send_unknown(context):
+@when("another build sends it 5 messages of each of two unknown kinds and 3 that are no messages")
+def send_unreadable(context):
     for kind in ("omens", "rumours"):
         for number in range(5):
             send(context, msgspec.msgpack.encode({"type": kind, "number": number}))
@@ -300,15 +308,17 @@
         send(context, b"\xc1 no message")
 
 
-@then("there is one line for each of these three, and 13 are counted")
-def told_once(context):
+@then("each of these three kinds is logged once, and 13 are counted")
+def check_logged_once(context):
     assert eventually(lambda: context.counters.values["datagrams.unreadable"] == 13, 5.0)
-    told = [each for each in context.lines if "datagram.unreadable" in each.get("message_type", "")]
-    assert sorted(each["kind"] for each in told) == ["", "omens", "rumours"], told
+    logged = [
+        each for each in context.lines if "datagram.unreadable" in each.get("message_type", "")
+    ]
+    assert sorted(each["kind"] for each in logged) == ["", "omens", "rumours"], logged
 
 
-@then("a message that it knows still arrives, also with fields that it doesn't know")
-def still_arrives(context):
+@then("a message of a known kind still arrives, even with unknown fields")
+def check_known_arrives(context):
     known = {"type": "repayment-reply", "number": 4, "session": "a.1", "hue": {"deep": [1]}}
     send(context, msgspec.msgpack.encode(known))
-    assert eventually(lambda: context.heard == [RepaymentReply(4, "a.1")], 5.0), context.heard
+    assert eventually(lambda: context.received == [RepaymentReply(4, "a.1")], 5.0), context.received
