--- a/src/aspengate/peers/_exchange.py
+++ b/src/aspengate/peers/_exchange.py
@@ -104,16 +104,16 @@
         """Record a request that another router sent to a replica."""
 
     def handle_crash_notice(self, notice: CrashNotice) -> None:
-        """Record the requests under which replicas crashed at another router."""
+        """Record what another router observed of requests that crash replicas."""
 
     def known_crashes(self) -> CrashNotice | None:
-        """Return the recent crashes, to be sent to a router that has just started; None if none."""
+        """Return the recent crashes for a router that may have missed them, or None."""
 
     def handle_limit_notice(self, notice: LimitNotice, reported_by: str) -> None:
         """Record the limits of replicas that the router at ``reported_by`` reports."""
 
     def known_limits(self) -> LimitNotice | None:
-        """Return the known limits, to be sent to a router that has just started; None if none."""
+        """Return the known limits for a router that may have missed them, or None."""
 
     def handle_permit_request(
         self, request: PermitRequest
--- a/src/aspengate/peers/_messages.py
+++ b/src/aspengate/peers/_messages.py
@@ -137,7 +137,7 @@
 
 
 class CrashNotice(msgspec.Struct, frozen=True, tag="crashes"):
-    """What a router observed of requests that may crash replicas.
+    """What a router observed of requests that crash replicas.
 
     ``lost`` are requests that runs of replicas lost, ``ended`` the runs that have terminated, and
     ``cleared`` the fingerprints of requests that were answered completely.
