--- a/bench/replica_limits.py
+++ b/bench/replica_limits.py
@@ -11,11 +11,11 @@
 from aspengate.clock import ManualClock
 from aspengate.fleet_permits import (
     FleetPermits,
-    PartOfRank,
     RouterShares,
+    ShareOfRank,
     WindowBound,
-    evenly,
-    mostly_first,
+    even_share,
+    first_weighted_share,
 )
 
 MOST_ASKED = 4
@@ -34,7 +34,7 @@
     """Routers that share the permits of replicas; ``asks`` tells whether they grant them."""
 
     def __init__(
-        self, routers: int, replicas: int, part_of_rank: PartOfRank, *, asks: bool
+        self, routers: int, replicas: int, share_of_rank: ShareOfRank, *, asks: bool
     ) -> None:
         self.clock = ManualClock()
         self.asks = asks
@@ -43,9 +43,9 @@
         self.permits = {}
         for name in self.names:
             shares = RouterShares(name, self.clock)
-            shares.know(self.names, routers)
-            self.permits[name] = FleetPermits(shares, self.clock, part_of_rank=part_of_rank)
-        first = self.permits[self.names[0]].shares.first
+            shares.set_routers(self.names, routers)
+            self.permits[name] = FleetPermits(shares, self.clock, share_of_rank=share_of_rank)
+        first = self.permits[self.names[0]].shares.top_ranked
         self.holders = {replica: first(replica) for replica in self.replicas}
         self.clock.advance(SETTLED_MS)
         self.silent: dict[tuple[str, str], float] = {}
@@ -56,7 +56,7 @@
     def send(self, own: str, bound: WindowBound, alive: set[str], source: random.Random) -> bool:
         """Send one request of a router, if any replica may get it; return whether one did."""
         for replica in source.sample(self.replicas, len(self.replicas)):
-            permit = self.permits[own].take(replica, bound)
+            permit = self.permits[own].acquire(replica, bound)
             if permit is not None:
                 permit.settle(sent=True)
                 return True
@@ -89,9 +89,7 @@
             return False
         for replica in replicas:
             key = (own, self.asked)
-            made = self.permits[holder].grant(
-                key, replica, bound, most_wait_ms=0, valid_ms=VALID_MS
-            )
+            made = self.permits[holder].grant(key, replica, bound, max_wait_ms=0, valid_ms=VALID_MS)
             if made is not None:
                 self.permits[holder].settle_grant(key, sent=True)
                 return True
@@ -101,13 +99,13 @@
 
 
 def play(
-    way: tuple[PartOfRank, bool], routers: int, per_second: float, load: float, dead: float
+    way: tuple[ShareOfRank, bool], routers: int, per_second: float, load: float, dead: float
 ) -> float:
     """Return the share served of what could be."""
-    part_of_rank, asks = way
+    share_of_rank, asks = way
     replicas = 4 if routers <= 10 else 24
-    fleet = Fleet(routers, replicas, part_of_rank, asks=asks)
-    bound = WindowBound.of_rate(per_second)
+    fleet = Fleet(routers, replicas, share_of_rank, asks=asks)
+    bound = WindowBound.from_rate(per_second)
     source = random.Random(1)
     alive = fleet.names[int(dead * routers) :]
     lasts_ms = max(20_000.0, 8 * bound.window_ms)
@@ -123,11 +121,11 @@
     return served / min(came, supply * lasts_ms / 1_000)
 
 
-WAYS: dict[str, tuple[PartOfRank, bool]] = {
-    "by rank alone": (evenly, False),
-    "by rank, granted": (evenly, True),
+WAYS: dict[str, tuple[ShareOfRank, bool]] = {
+    "by rank alone": (even_share, False),
+    "by rank, granted": (even_share, True),
     "one in charge": (all_first, True),
-    "most at the first": (mostly_first, True),
+    "most at the first": (first_weighted_share, True),
 }
 
 
--- a/features/steps/cold_starts_steps.py
+++ b/features/steps/cold_starts_steps.py
@@ -10,7 +10,7 @@
 from platform_standins.fleet import eventually
 
 from aspengate.clock import ManualClock
-from aspengate.cold_starts import ColdStartLimiter, ColdStartPolicy, Contact
+from aspengate.cold_starts import ColdStartLimiter, ColdStartPolicy, Connectivity
 from aspengate.configuration import Service
 from aspengate.fleet_permits import RouterShares
 from aspengate.replicas import Evacuation, Replica, ReplicaRegistry, ReplicaView
@@ -38,21 +38,21 @@
     return found
 
 
-def limiter(clock, own="front-0", contact=Contact.CURRENT):
+def limiter(clock, own="front-0", contact=Connectivity.CURRENT):
     return ColdStartLimiter(POLICY, RouterShares(own, clock), clock, lambda: contact)
 
 
-def known_limiter(count=4, contact=Contact.CURRENT):
+def known_limiter(count=4, contact=Connectivity.CURRENT):
     clock = ManualClock()
     made = limiter(clock, contact=contact)
-    made.permits.shares.know(names(count), count)
+    made.permits.shares.set_routers(names(count), count)
     clock.advance(POLICY.start_ms + POLICY.window_ms)
     return made, clock
 
 
 def send(made, replica, service=SERVICE):
     """Send one request if it may be; return whether it was."""
-    permit = made.take(replica, service)
+    permit = made.acquire(replica, service)
     if permit is not None:
         permit.settle(sent=True)
     return permit is not None
@@ -67,8 +67,8 @@
     total = 0
     for own in running:
         shares = RouterShares(own, ManualClock())
-        shares.know(*known())
-        total += shares.part(replica, PERMITS)
+        shares.set_routers(*known())
+        total += shares.share(replica, PERMITS)
     return total
 
 
@@ -124,21 +124,21 @@
         self.clock.advance(POLICY.start_ms + POLICY.window_ms)
 
     def begin(self, own):
-        self.contacts[own] = Contact.CURRENT
+        self.contacts[own] = Connectivity.CURRENT
         shares = RouterShares(own, self.clock)
         return ColdStartLimiter(POLICY, shares, self.clock, lambda: self.contacts[own])
 
     def tell(self):
         """Have all that are not cut off hear of all routers."""
         for own, each in self.limiters.items():
-            if self.contacts[own] is Contact.CURRENT:
-                each.permits.shares.know(self.known, len(self.known))
+            if self.contacts[own] is Connectivity.CURRENT:
+                each.permits.shares.set_routers(self.known, len(self.known))
 
     def press(self):
         own = self.source.choice(self.known)
         replica = self.source.choice(self.views[: 1 + self.source.randrange(2)])
         for _ in range(self.source.randrange(1, 6)):
-            permit = self.limiters[own].take(replica, SERVICE)
+            permit = self.limiters[own].acquire(replica, SERVICE)
             if permit is None:
                 return
             late_ms = self.source.choice([0, 0, 0, 30, 400, 900])
@@ -153,7 +153,7 @@
 
     def cut_off(self):
         own = self.source.choice(self.known)
-        self.contacts[own] = self.source.choice([Contact.NONE, Contact.CURRENT])
+        self.contacts[own] = self.source.choice([Connectivity.NONE, Connectivity.CURRENT])
         self.tell()
 
     def come(self):
@@ -231,8 +231,8 @@
     def tell(self):
         """Have all that run and are not cut off hear of all routers."""
         for own, each in self.limiters.items():
-            if self.contacts[own] is Contact.CURRENT and not self.is_suspended(own):
-                each.permits.shares.know(self.known, len(self.known))
+            if self.contacts[own] is Connectivity.CURRENT and not self.is_suspended(own):
+                each.permits.shares.set_routers(self.known, len(self.known))
 
 
 @when("requests are sent late, routers start again, are cut off and suspended, and new ones come")
@@ -266,14 +266,14 @@
 def told_lately(context):
     clock = ManualClock()
     context.limiter = limiter(clock)
-    context.limiter.permits.shares.know(names(4), 4)
+    context.limiter.permits.shares.set_routers(names(4), 4)
     clock.advance(1_000)
 
 
 @then("it sends nothing to a cold replica, and anything to a warm one")
 def nothing_to_cold(context):
     assert sent_of(context.limiter, view("i-1")) == 0
-    assert not context.limiter.open([view("i-1")], SERVICE)
+    assert not context.limiter.eligible([view("i-1")], SERVICE)
     assert sent_of(context.limiter, view("i-2", cold=False)) == 30
 
 
@@ -284,14 +284,14 @@
 
 @given("a router that hears its peers but not of changes in the store")
 def hears_peers(context):
-    context.limiter, context.clock = known_limiter(contact=Contact.PEERS)
+    context.limiter, context.clock = known_limiter(contact=Connectivity.PEERS)
 
 
 @when("the fleet has sent a warm replica as much as a cold one bears")
 def fleet_has_sent(context):
     context.replica = view("i-1", cold=False)
     for _ in range(PERMITS - 2):
-        context.limiter.note_heard("i-1")
+        context.limiter.record_peer_request("i-1")
     assert sent_of(context.limiter, context.replica) == 2
 
 
@@ -306,13 +306,13 @@
 
 @given("a router that hears neither of changes nor its peers")
 def hears_nobody(context):
-    context.limiter, context.clock = known_limiter(contact=Contact.NONE)
+    context.limiter, context.clock = known_limiter(contact=Connectivity.NONE)
 
 
 @then("it sends each replica, warm or not, no more than its permits in a second")
 def permits_alone(context):
     for replica in (view("i-1"), view("i-2", cold=False)):
-        permits = context.limiter.permits.shares.part(replica.identity, PERMITS)
+        permits = context.limiter.permits.shares.share(replica.identity, PERMITS)
         assert sent_of(context.limiter, replica) == permits
 
 
@@ -389,13 +389,13 @@
 def has_permits(context):
     context.limiter, context.clock = known_limiter()
     context.replica = view("i-1")
-    context.permits = context.limiter.permits.shares.part("i-1", PERMITS)
+    context.permits = context.limiter.permits.shares.share("i-1", PERMITS)
     assert context.permits > 1
 
 
 @when("the replica's entry lapses while a request is under way to it, and comes back")
 def lapses(context):
-    under_way = context.limiter.take(context.replica, SERVICE)
+    under_way = context.limiter.acquire(context.replica, SERVICE)
     assert send(context.limiter, context.replica)
     context.limiter.forget("i-1")
     under_way.settle(sent=True)
--- a/features/steps/fleet_permits_steps.py
+++ b/features/steps/fleet_permits_steps.py
@@ -12,8 +12,8 @@
     FleetPermits,
     RouterShares,
     WindowBound,
-    evenly,
-    mostly_first,
+    even_share,
+    first_weighted_share,
 )
 from permit_storm import REPLICAS, VALID_MS, PermitStorm
 
@@ -29,13 +29,13 @@
     context.names = [f"front-{number}" for number in range(routers)]
 
 
-def parts(names, subject, total, part_of_rank, known):
+def parts(names, subject, total, share_of_rank, known):
     """Return the permits of all routers together; ``known`` returns what each is told."""
     found = 0
     for own in names:
         shares = RouterShares(own, ManualClock())
-        shares.know(*known())
-        found += shares.part(subject, total, part_of_rank)
+        shares.set_routers(*known())
+        found += shares.share(subject, total, share_of_rank)
     return found
 
 
@@ -44,18 +44,20 @@
     names = context.names
 
     @given_any(
-        st.integers(0, 2**32), st.integers(1, 2_000), st.sampled_from([evenly, mostly_first])
+        st.integers(0, 2**32),
+        st.integers(1, 2_000),
+        st.sampled_from([even_share, first_weighted_share]),
     )
     @settings(max_examples=40 if len(names) < 100 else 3)
-    def check(seed, total, part_of_rank):
+    def check(seed, total, share_of_rank):
         source = random.Random(seed)
 
         def drawn():
             gone = [f"gone-{number}" for number in range(source.randrange(9))]
             return [*names, *gone], len(names) + len(gone) + source.randrange(3)
 
-        found = parts(names, source.choice(REPLICAS), total, part_of_rank, drawn)
-        assert found <= total, (found, total, part_of_rank)
+        found = parts(names, source.choice(REPLICAS), total, share_of_rank, drawn)
+        assert found <= total, (found, total, share_of_rank)
 
     check()
 
@@ -63,10 +65,10 @@
 @then("where they know each other their parts come to exactly the permits")
 def parts_whole(context):
     names = context.names
-    for part_of_rank in (evenly, mostly_first):
+    for share_of_rank in (even_share, first_weighted_share):
         for total in (1, 2, 5, 14, 500):
-            found = parts(names, "i-1", total, part_of_rank, lambda: (names, len(names)))
-            assert found == total, (found, total, part_of_rank)
+            found = parts(names, "i-1", total, share_of_rank, lambda: (names, len(names)))
+            assert found == total, (found, total, share_of_rank)
 
 
 @given("any rate from 0.05 to 500 requests a second")
@@ -78,7 +80,7 @@
 def window_of_rate(context):
     @given_any(context.rates)
     def check(rate):
-        bound = WindowBound.of_rate(rate)
+        bound = WindowBound.from_rate(rate)
         assert bound.permits >= 2
         assert abs(bound.permits * 1_000 / bound.window_ms - rate) <= 1e-9 * rate
         assert bound.permits == 2 or 1_000 <= bound.window_ms < 2 * SPAN_MS
@@ -90,7 +92,7 @@
 def span_of_rate(context):
     @given_any(context.rates)
     def check(rate):
-        bound = WindowBound.of_rate(rate)
+        bound = WindowBound.from_rate(rate)
         most = bound.permits * (1 + SPAN_MS // bound.window_ms)
         assert most <= 1.5 * rate * SPAN_MS / 1_000 + 5, (rate, most)
 
@@ -102,7 +104,7 @@
     routers = len(context.names)
     steps, seeds = (1_200, 4) if routers < 100 else (400, 1)
     context.storms = [
-        PermitStorm(routers, WindowBound.of_rate(rate), seed).play(steps)
+        PermitStorm(routers, WindowBound.from_rate(rate), seed).play(steps)
         for rate in RATES
         for seed in range(seeds)
     ]
@@ -130,29 +132,29 @@
         self.clock = ManualClock()
         self.names = names
         shares = RouterShares(names[0], self.clock)
-        shares.know(names, len(names))
-        self.own = shares.first("i-1")[0]
+        shares.set_routers(names, len(names))
+        self.own = shares.top_ranked("i-1")[0]
         self.permits = self.begin()
         self.clock.advance(START_MS + NARROW.window_ms)
 
     def begin(self):
         shares = RouterShares(self.own, self.clock)
-        shares.know(self.names, len(self.names))
-        return FleetPermits(shares, self.clock, part_of_rank=mostly_first)
+        shares.set_routers(self.names, len(self.names))
+        return FleetPermits(shares, self.clock, share_of_rank=first_weighted_share)
 
     def part(self, bound=BOUND):
-        return self.permits.part("i-1", bound)
+        return self.permits.share("i-1", bound)
 
     def use_all(self, bound=BOUND, gap_ms=0.0):
         for _ in range(self.part(bound)):
-            self.permits.take("i-1", bound).settle(sent=True)
+            self.permits.acquire("i-1", bound).settle(sent=True)
             self.clock.advance(gap_ms)
 
     def grant_all(self):
         keys = [("asker", number) for number in range(self.part())]
         for key in keys:
-            assert self.permits.grant(key, "i-1", BOUND, most_wait_ms=0, valid_ms=VALID_MS)
-        assert self.permits.grant(("asker", 99), "i-1", BOUND, most_wait_ms=0, valid_ms=1) is None
+            assert self.permits.grant(key, "i-1", BOUND, max_wait_ms=0, valid_ms=VALID_MS)
+        assert self.permits.grant(("asker", 99), "i-1", BOUND, max_wait_ms=0, valid_ms=1) is None
         return keys
 
     def is_free(self, bound=BOUND):
@@ -204,7 +206,7 @@
 @then("it has one again at once, and one alone")
 def one_free(context):
     assert context.first.is_free()
-    assert context.first.permits.take("i-1", BOUND) is not None
+    assert context.first.permits.acquire("i-1", BOUND) is not None
     assert not context.first.is_free()
 
 
@@ -212,7 +214,7 @@
 def one_for_later(context):
     context.first = First(context.names)
     context.first.use_all(gap_ms=10.0)
-    assert context.first.permits.take("i-1", BOUND) is None
+    assert context.first.permits.acquire("i-1", BOUND) is None
     context.begun_ms = context.first.clock.monotonic_ms() - 10.0 * context.first.part()
 
 
@@ -220,7 +222,7 @@
 def ready_in_order(context):
     first = context.first
     for number in range(3):
-        permit = first.permits.take("i-1", BOUND, most_wait_ms=BOUND.window_ms)
+        permit = first.permits.acquire("i-1", BOUND, max_wait_ms=BOUND.window_ms)
         assert permit.ready_ms == context.begun_ms + 10.0 * number + BOUND.window_ms, number
 
 
--- a/features/steps/limited_choice_steps.py
+++ b/features/steps/limited_choice_steps.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 
 from aspengate.clock import ManualClock
-from aspengate.cold_starts import ColdStartPolicy, Contact
+from aspengate.cold_starts import ColdStartPolicy, Connectivity
 from aspengate.configuration import Service
 from aspengate.experiments._overload import LoadPattern, _Play
 from aspengate.fleet_permits import Permit
@@ -53,12 +53,12 @@
         ready = {}
         for view in wanted:
             theirs = self.play.views_of[router][view.identity]
-            made = limiter.grant(key, theirs, most_wait_ms=most_wait_ms, valid_ms=VALID_MS)
+            made = limiter.grant(key, theirs, max_wait_ms=most_wait_ms, valid_ms=VALID_MS)
             if made is not None:
                 return self.granted(limiter.permits, key, view, made)
             in_ms = limiter.ready_in_ms(theirs)
             ready[view.identity] = -1.0 if in_ms is None else in_ms
-        self.holders.note_answer(router, ready)
+        self.holders.record_reply(router, ready)
         return None
 
     def granted(self, permits, key, view, made):
@@ -88,7 +88,7 @@
         self.refused = 0
 
     def _bounds(self, name):
-        contact, limited = (lambda: Contact.CURRENT), (lambda: True)
+        contact, limited = (lambda: Connectivity.CURRENT), (lambda: True)
         bounds = ReplicaBounds(name, self.clock, ColdStartPolicy(), contact, limited)
         bounds.set_routers(self.names, len(self.names))
         return bounds
--- a/features/steps/permit_storm.py
+++ b/features/steps/permit_storm.py
@@ -5,7 +5,7 @@
 import random
 
 from aspengate.clock import ManualClock
-from aspengate.fleet_permits import FleetPermits, Permit, RouterShares, mostly_first
+from aspengate.fleet_permits import FleetPermits, Permit, RouterShares, first_weighted_share
 
 REPLICAS = [f"i-{number}" for number in range(3)]
 ANSWER_MS = 100.0
@@ -43,7 +43,7 @@
     def begin(self, own):
         self.runs[own] = self.runs.get(own, 0) + 1
         shares = RouterShares(own, self.clock)
-        self.permits[own] = FleetPermits(shares, self.clock, part_of_rank=mostly_first)
+        self.permits[own] = FleetPermits(shares, self.clock, share_of_rank=first_weighted_share)
 
     def is_suspended(self, own):
         return self.clock.monotonic_ms() < self.until_ms.get(own, 0.0)
@@ -53,7 +53,7 @@
         names = [*self.known, *self.silent]
         for own, each in self.permits.items():
             if own not in self.cut and not self.is_suspended(own):
-                each.shares.know(names, len(names))
+                each.shares.set_routers(names, len(names))
 
     # What happens at routers, now or later.
 
@@ -88,7 +88,7 @@
         replica = self.source.choice(REPLICAS[: 1 + self.source.randrange(len(REPLICAS))])
         for _ in range(self.source.randrange(1, 5)):
             wait_ms = self.source.choice([0, 0, 100, 400])
-            permit = self.permits[own].take(replica, self.bound, most_wait_ms=wait_ms)
+            permit = self.permits[own].acquire(replica, self.bound, max_wait_ms=wait_ms)
             if permit is None:
                 self.ask(own, replica, wait_ms)
                 return
@@ -101,7 +101,7 @@
 
         def send():
             sent_ms = self.clock.monotonic_ms()
-            if not permit.holds(sent_ms) or self.source.random() < 0.1:
+            if not permit.confirm(sent_ms) or self.source.random() < 0.1:
                 permit.settle(sent=False)
                 return
             arrived_ms = sent_ms + self.source.uniform(0, 5)
@@ -112,7 +112,7 @@
 
     def ask(self, own, replica, wait_ms):
         """Ask one of the first two routers for a permit."""
-        holder = self.source.choice(self.permits[own].shares.first(replica))
+        holder = self.source.choice(self.permits[own].shares.top_ranked(replica))
         if holder == own:
             return
         asked_ms = self.clock.monotonic_ms()
@@ -120,7 +120,7 @@
 
         def grant():
             granted = self.permits[holder].grant(
-                key, replica, self.bound, most_wait_ms=wait_ms, valid_ms=VALID_MS
+                key, replica, self.bound, max_wait_ms=wait_ms, valid_ms=VALID_MS
             )
             if granted is not None:
                 left_ms = max(0.0, granted.ready_ms - self.clock.monotonic_ms())
--- a/features/steps/replica_limit_answers_steps.py
+++ b/features/steps/replica_limit_answers_steps.py
@@ -15,7 +15,7 @@
 from aspengate.clock import ManualClock
 from aspengate.errors import ErrorKind
 from aspengate.explanation import read_lines, tell_story
-from aspengate.fleet_permits import FleetPermits, RouterShares, mostly_first
+from aspengate.fleet_permits import FleetPermits, RouterShares, first_weighted_share
 from aspengate.gateway._attempt import Attempt, AttemptDependencies, RetryableAttemptError
 from aspengate.gateway._permit_client import PermitClient
 from aspengate.losses import cause_of
@@ -154,11 +154,11 @@
 def chosen_unlimited(context):
     listed = context.listed = RegistryFixture(["i-1"])
     shares = RouterShares("router-1", listed.clock)
-    shares.know([], 1)
+    shares.set_routers([], 1)
     listed.clock.advance(60_000)
-    permits = FleetPermits(shares, listed.clock, part_of_rank=mostly_first)
+    permits = FleetPermits(shares, listed.clock, share_of_rank=first_weighted_share)
     context.limiter = ReplicaLimiter(permits, listed.clock, lambda: listed.registry.any_limited)
-    context.permit = context.limiter.take(listed.view("i-1"))
+    context.permit = context.limiter.acquire(listed.view("i-1"))
 
 
 @when("another answer names a limit before the first byte has gone, and all its permits are used")
@@ -168,7 +168,7 @@
 
     def name_limit(_):
         listed.registry.record_notice(view, ReplicaNotice(limit=1.0))
-        while (permit := context.limiter.take(view)) is not None:
+        while (permit := context.limiter.acquire(view)) is not None:
             permit.settle(sent=True)
             listed.clock.advance(500)
 
@@ -192,7 +192,7 @@
     # One permit is free a window after the oldest use: none was taken by the request.
     view = context.listed.view("i-1")
     bound = context.limiter.bound_of(view)
-    assert context.limiter.permits.counted("i-1", bound) == bound.permits
+    assert context.limiter.permits.count_in_window("i-1", bound) == bound.permits
 
 
 @when('the portal replica names "{value}"')
@@ -425,23 +425,23 @@
 def looks(context):
     context.clock = ManualClock()
     shares = RouterShares("router-0", context.clock)
-    shares.know([f"router-{number}" for number in range(1, 9)], 9)
-    identity = next(f"i-{n}" for n in range(100) if "router-0" not in shares.first(f"i-{n}"))
+    shares.set_routers([f"router-{number}" for number in range(1, 9)], 9)
+    identity = next(f"i-{n}" for n in range(100) if "router-0" not in shares.top_ranked(f"i-{n}"))
     context.view = RegistryFixture([identity]).view(identity)
-    context.first, context.second = shares.first(identity)
+    context.first, context.second = shares.top_ranked(identity)
     context.holders = PermitHolders(shares, context.clock)
 
 
 @when("the first of them does not answer")
 def first_silent(context):
     assert context.holders.holder_of(context.view) == context.first
-    context.holders.note_silent(context.first)
+    context.holders.record_unresponsive(context.first)
 
 
 @then("the next one is asked, and after a second the first one again")
 def next_asked(context):
     assert context.holders.holder_of(context.view) == context.second
-    context.holders.note_answer(context.second, {context.view.identity: 400.0})
+    context.holders.record_reply(context.second, {context.view.identity: 400.0})
     assert context.holders.holder_of(context.view) == ""
     assert context.holders.ready_in_ms(context.view) == 400.0
     context.clock.advance(999)
--- a/src/aspengate/cold_starts/_limiter.py
+++ b/src/aspengate/cold_starts/_limiter.py
@@ -17,7 +17,7 @@
 from aspengate.replicas import ReplicaView
 
 
-class Contact(enum.Enum):
+class Connectivity(enum.Enum):
     """What a router can know of replicas that have just become cold.
 
     ``CURRENT``: it hears of each change in the store. ``PEERS``: it does not, but hears what the
@@ -35,7 +35,7 @@
     A replica that is known to be cold gets requests only by this router's part of its permits. A
     router that does not hear of changes can't know which replicas are cold: it holds the rate of
     every one, by what it sends and hears, to what a cold one bears; where it hears of nobody, it
-    sends by permits alone. ``contact`` tells which holds.
+    sends by permits alone. ``connectivity`` tells which holds.
     """
 
     def __init__(
@@ -43,16 +43,16 @@
         policy: ColdStartPolicy,
         shares: RouterShares,
         clock: Clock,
-        contact: Callable[[], Contact],
+        connectivity: Callable[[], Connectivity],
     ) -> None:
         self.policy = policy
         self.permits = FleetPermits(shares, clock, start_ms=policy.start_ms)
-        self.contact = contact
+        self.connectivity = connectivity
         self._clock = clock
         self._heard: dict[str, deque[float]] = defaultdict(deque)
         self._lock = threading.Lock()
 
-    def note_heard(self, replica: str) -> None:
+    def record_peer_request(self, replica: str) -> None:
         """Count a request of another router."""
         with self._lock:
             self._heard[replica].append(self._clock.monotonic_ms())
@@ -68,16 +68,16 @@
                 if not self._count_heard(each):
                     del self._heard[each]
 
-    def open(self, views: list[ReplicaView], service: Service) -> list[ReplicaView]:
+    def eligible(self, views: list[ReplicaView], service: Service) -> list[ReplicaView]:
         """Return those of a service's replicas that may get one more request now, in a new list.
 
         While none may be cold, which is nearly always, nothing is counted for each replica.
         """
         if not service.cold_per_second:
             return list(views)
-        contact = self.contact()
+        connectivity = self.connectivity()
         now = self._clock.monotonic_ms()
-        if contact is Contact.CURRENT and not any(
+        if connectivity is Connectivity.CURRENT and not any(
             view.is_cold(now, service.cold_start_ms) for view in views
         ):
             return list(views)
@@ -85,26 +85,31 @@
         return [
             view
             for view in views
-            if self.permits.counted(view.identity, bound)
-            < self._part(view, service, bound, contact, now)
+            if self.permits.count_in_window(view.identity, bound)
+            < self._part(view, service, bound, connectivity, now)
         ]
 
-    def take(self, view: ReplicaView, service: Service) -> Permit | None:
+    def acquire(self, view: ReplicaView, service: Service) -> Permit | None:
         """Count one more request to a replica; None where it may get none after all."""
         if not service.cold_per_second:
-            return Permit.free()
+            return Permit.unlimited()
         bound = self.policy.bound(service.cold_per_second)
         now = self._clock.monotonic_ms()
-        part = self._part(view, service, bound, self.contact(), now)
-        return self.permits.take(view.identity, bound, part=part)
+        part = self._part(view, service, bound, self.connectivity(), now)
+        return self.permits.acquire(view.identity, bound, share=part)
 
     def _part(
-        self, view: ReplicaView, service: Service, bound: WindowBound, contact: Contact, now: float
+        self,
+        view: ReplicaView,
+        service: Service,
+        bound: WindowBound,
+        connectivity: Connectivity,
+        now: float,
     ) -> float:
         """Return how many requests of this router may count at a replica at any time."""
-        if contact is Contact.NONE or view.is_cold(now, service.cold_start_ms):
-            return self.permits.part(view.identity, bound)
-        if contact is Contact.PEERS:
+        if connectivity is Connectivity.NONE or view.is_cold(now, service.cold_start_ms):
+            return self.permits.share(view.identity, bound)
+        if connectivity is Connectivity.PEERS:
             with self._lock:
                 return bound.permits - self._count_heard(view.identity)
         return float("inf")
--- a/src/aspengate/fleet_permits/__init__.py
+++ b/src/aspengate/fleet_permits/__init__.py
@@ -7,17 +7,22 @@
 from aspengate.fleet_permits._bound import WindowBound
 from aspengate.fleet_permits._permit import JointPermit, Permit
 from aspengate.fleet_permits._permits import FleetPermits, Grant, GrantKey
-from aspengate.fleet_permits._shares import PartOfRank, RouterShares, evenly, mostly_first
+from aspengate.fleet_permits._shares import (
+    RouterShares,
+    ShareOfRank,
+    even_share,
+    first_weighted_share,
+)
 
 __all__ = [
     "FleetPermits",
     "Grant",
     "GrantKey",
     "JointPermit",
-    "PartOfRank",
     "Permit",
     "RouterShares",
+    "ShareOfRank",
     "WindowBound",
-    "evenly",
-    "mostly_first",
+    "even_share",
+    "first_weighted_share",
 ]
--- a/src/aspengate/fleet_permits/_bound.py
+++ b/src/aspengate/fleet_permits/_bound.py
@@ -29,7 +29,7 @@
     spacing_ms: float = 0.0
 
     @classmethod
-    def of_rate(cls, per_second: float) -> "WindowBound":
+    def from_rate(cls, per_second: float) -> "WindowBound":
         """Return the bound that allows so many requests a second in the long run.
 
         The window is a whole number of requests long, also for less than one in 4 s: rounded to
--- a/src/aspengate/fleet_permits/_permit.py
+++ b/src/aspengate/fleet_permits/_permit.py
@@ -22,11 +22,11 @@
         self._on_settled: Callable[[bool], None] | None = on_settled
 
     @classmethod
-    def free(cls) -> "Permit":
+    def unlimited(cls) -> "Permit":
         """Return one that counts against nothing."""
         return cls(lambda _: None)
 
-    def holds(self, now_ms: float) -> bool:
+    def confirm(self, now_ms: float) -> bool:
         """Return whether the request may still be sent; ask it just before the first byte goes."""
         return now_ms <= self.until_ms
 
@@ -44,9 +44,9 @@
         super().__init__(self._settle_all, ready_ms=max(each.ready_ms for each in permits))
         self._permits = permits
 
-    def holds(self, now_ms: float) -> bool:
+    def confirm(self, now_ms: float) -> bool:
         """Return whether all of them hold."""
-        return all(each.holds(now_ms) for each in self._permits)
+        return all(each.confirm(now_ms) for each in self._permits)
 
     def _settle_all(self, sent: bool) -> None:
         for each in self._permits:
--- a/src/aspengate/fleet_permits/_permits.py
+++ b/src/aspengate/fleet_permits/_permits.py
@@ -7,7 +7,7 @@
 from aspengate.clock import Clock
 from aspengate.fleet_permits._bound import WindowBound
 from aspengate.fleet_permits._permit import Permit
-from aspengate.fleet_permits._shares import PartOfRank, RouterShares, evenly
+from aspengate.fleet_permits._shares import RouterShares, ShareOfRank, even_share
 from aspengate.fleet_permits._usage import Usage
 
 # A grant that is asked for, by the session that asks and its number there.
@@ -31,7 +31,7 @@
     """Hands out this router's permits, to its own requests and to other routers.
 
     Within ``start_ms`` all routers have heard of one that starts, and what a run that has ended
-    was sending has been sent. ``part_of_rank`` tells how many permits the routers hold.
+    was sending has been sent. ``share_of_rank`` tells how many permits the routers hold.
     """
 
     def __init__(
@@ -40,17 +40,17 @@
         clock: Clock,
         *,
         start_ms: float = 3_000.0,
-        part_of_rank: PartOfRank = evenly,
+        share_of_rank: ShareOfRank = even_share,
     ) -> None:
         self.shares = shares
         self.start_ms = start_ms
-        self.part_of_rank = part_of_rank
+        self.share_of_rank = share_of_rank
         self._clock = clock
         self._usage: dict[str, Usage] = defaultdict(Usage)
         self._grants: dict[GrantKey, Grant] = {}
         self._lock = threading.Lock()
 
-    def part(self, subject: str, bound: WindowBound) -> int:
+    def share(self, subject: str, bound: WindowBound) -> int:
         """Return how many permits of a bound this router holds.
 
         None before all can have heard of this run of it, and what an earlier one used counts no
@@ -58,40 +58,40 @@
         """
         if self.shares.known_for_ms() < self.start_ms + bound.window_ms:
             return 0
-        return self.shares.part(subject, bound.permits, self.part_of_rank)
+        return self.shares.share(subject, bound.permits, self.share_of_rank)
 
-    def counted(self, subject: str, bound: WindowBound) -> int:
+    def count_in_window(self, subject: str, bound: WindowBound) -> int:
         """Return how many of this router's permits count within a bound's window now."""
         with self._lock:
             now = self._clock.monotonic_ms()
-            return self._current(subject, bound, now).counted(now - bound.window_ms)
+            return self._current(subject, bound, now).count_since(now - bound.window_ms)
 
     def ready_in_ms(self, subject: str, bound: WindowBound) -> float | None:
         """Return in how many ms one may be used; None where that is not known here."""
         with self._lock:
             now = self._clock.monotonic_ms()
-            ready_ms = self._ready_ms(subject, bound, now, self.part(subject, bound))
+            ready_ms = self._ready_ms(subject, bound, now, self.share(subject, bound))
         return None if ready_ms is None else ready_ms - now
 
-    def take(
+    def acquire(
         self,
         subject: str,
         bound: WindowBound,
         *,
-        most_wait_ms: float = 0.0,
-        part: float | None = None,
+        max_wait_ms: float = 0.0,
+        share: float | None = None,
     ) -> Permit | None:
-        """Return a permit that may be used within ``most_wait_ms``; None where there is none.
+        """Return a permit that may be used within ``max_wait_ms``; None where there is none.
 
-        ``part`` is how many may count at any time, where that is not this router's part.
+        ``share`` is how many may count at any time, where that is not this router's part.
         """
         with self._lock:
             now = self._clock.monotonic_ms()
-            allowed = self.part(subject, bound) if part is None else part
+            allowed = self.share(subject, bound) if share is None else share
             ready_ms = self._ready_ms(subject, bound, now, allowed)
-            if ready_ms is None or ready_ms - now > most_wait_ms:
+            if ready_ms is None or ready_ms - now > max_wait_ms:
                 return None
-            self._usage[subject].take(ready_ms)
+            self._usage[subject].record_acquired(ready_ms)
         return Permit(lambda sent: self._settle(subject, sent=sent), ready_ms=ready_ms)
 
     def grant(
@@ -100,20 +100,20 @@
         subject: str,
         bound: WindowBound,
         *,
-        most_wait_ms: float,
+        max_wait_ms: float,
         valid_ms: float,
     ) -> Grant | None:
-        """Grant another router a permit that is ready within ``most_wait_ms``, for ``valid_ms``.
+        """Grant another router a permit that is ready within ``max_wait_ms``, for ``valid_ms``.
 
         It counts as one of this router's own from now on, so that nobody has to agree on who
         grants: whoever holds no permit has none to grant.
         """
         with self._lock:
             now = self._clock.monotonic_ms()
-            ready_ms = self._ready_ms(subject, bound, now, self.part(subject, bound))
-            if ready_ms is None or ready_ms - now > most_wait_ms or key in self._grants:
+            ready_ms = self._ready_ms(subject, bound, now, self.share(subject, bound))
+            if ready_ms is None or ready_ms - now > max_wait_ms or key in self._grants:
                 return None
-            self._usage[subject].take(ready_ms)
+            self._usage[subject].record_acquired(ready_ms)
             made = self._grants[key] = Grant(subject, ready_ms, ready_ms + valid_ms)
         return made
 
@@ -135,7 +135,7 @@
             self.shares.forget(subject)
             now = self._clock.monotonic_ms()
             for each, usage in list(self._usage.items()):
-                usage.forget(now)
+                usage.discard_expired(now)
                 if usage.is_empty:
                     del self._usage[each]
 
@@ -148,9 +148,9 @@
     def _note(self, subject: str, at_ms: float, *, sent: bool) -> None:
         usage = self._usage[subject]
         if sent:
-            usage.note_used(at_ms)
+            usage.record_used(at_ms)
         else:
-            usage.taken -= 1
+            usage.acquired -= 1
 
     def _ready_ms(
         self, subject: str, bound: WindowBound, now_ms: float, part: float
@@ -166,5 +166,5 @@
             self._note(made.subject, made.until_ms, sent=True)
         usage = self._usage[subject]
         usage.window_ms = max(usage.window_ms, bound.window_ms)
-        usage.forget(now_ms)
+        usage.discard_expired(now_ms)
         return usage
--- a/src/aspengate/fleet_permits/_shares.py
+++ b/src/aspengate/fleet_permits/_shares.py
@@ -15,10 +15,10 @@
 # How many permits the router of a rank has, the first rank being 0, of a number of routers and of
 # permits in all. It never grows with the rank or with the number of routers, so that a router
 # which counts more routers than there are takes no more than its part.
-PartOfRank = Callable[[int, int, int], int]
+ShareOfRank = Callable[[int, int, int], int]
 
 
-def evenly(rank: int, routers: int, total: int) -> int:
+def even_share(rank: int, routers: int, total: int) -> int:
     """Return as many permits for each rank, and one more for the first ones.
 
     Load pattern: replicas that bear little while many routers send to them, each a few requests. An
@@ -28,7 +28,7 @@
     return total // routers + (rank < total % routers)
 
 
-def mostly_first(rank: int, routers: int, total: int) -> int:
+def first_weighted_share(rank: int, routers: int, total: int) -> int:
     """Return most permits for the first rank, and the rest evenly for the others.
 
     Load pattern: all replicas of a service bear little, and their callers are spread over more
@@ -38,7 +38,7 @@
     if routers == 1:
         return total
     rest = int(total * (1 - _FIRST_PART)) or total // 2
-    return evenly(rank - 1, routers - 1, rest) if rank else total - rest
+    return even_share(rank - 1, routers - 1, rest) if rank else total - rest
 
 
 class RouterShares:
@@ -53,7 +53,7 @@
         self._ranks: dict[str, int] = {}
         self._first: dict[str, tuple[str, ...]] = {}
 
-    def know(self, routers: Collection[str], count: int) -> None:
+    def set_routers(self, routers: Collection[str], count: int) -> None:
         """Take over the names of the routers known, and how many there are by all accounts."""
         if self._known_since_ms is None:
             self._known_since_ms = self._clock.monotonic_ms()
@@ -65,7 +65,7 @@
         self._ranks, self._first = {}, {}
 
     @property
-    def count(self) -> int:
+    def router_count(self) -> int:
         """How many routers there are by all accounts, this one among them."""
         return self._count
 
@@ -75,7 +75,7 @@
             return float("-inf")
         return self._clock.monotonic_ms() - self._known_since_ms
 
-    def part(self, subject: str, total: int, part_of_rank: PartOfRank = evenly) -> int:
+    def share(self, subject: str, total: int, share_of_rank: ShareOfRank = even_share) -> int:
         """Return how many of a subject's permits this router holds.
 
         Routers whose names are not known here are taken to rank before this one.
@@ -83,9 +83,9 @@
         rank = self._ranks.get(subject)
         if rank is None:
             rank = self._ranks[subject] = self._rank(subject)
-        return part_of_rank(rank, self._count, total)
+        return share_of_rank(rank, self._count, total)
 
-    def first(self, subject: str) -> tuple[str, ...]:
+    def top_ranked(self, subject: str) -> tuple[str, ...]:
         """Return the two routers that rank first for a subject, as far as names are known."""
         found = self._first.get(subject)
         if found is None:
--- a/src/aspengate/fleet_permits/_usage.py
+++ b/src/aspengate/fleet_permits/_usage.py
@@ -18,23 +18,23 @@
     ``last_ready_ms`` is from when the one that was taken last may be used.
     """
 
-    taken: int = 0
+    acquired: int = 0
     used_ms: list[float] = field(default_factory=list)
     window_ms: float = _KEPT_MS
     last_ready_ms: float = float("-inf")
 
-    def note_used(self, at_ms: float) -> None:
+    def record_used(self, at_ms: float) -> None:
         """Count one that was taken as used at a time."""
-        self.taken -= 1
+        self.acquired -= 1
         bisect.insort(self.used_ms, at_ms)
 
-    def forget(self, now_ms: float) -> None:
+    def discard_expired(self, now_ms: float) -> None:
         """Drop what counts in no window any more."""
         del self.used_ms[: bisect.bisect_left(self.used_ms, now_ms - self.window_ms)]
 
-    def counted(self, oldest_ms: float) -> int:
+    def count_since(self, oldest_ms: float) -> int:
         """Return how many count that are taken, or were used since a time."""
-        return self.taken + len(self.used_ms) - bisect.bisect_left(self.used_ms, oldest_ms)
+        return self.acquired + len(self.used_ms) - bisect.bisect_left(self.used_ms, oldest_ms)
 
     def ready_ms(self, part: float, bound: WindowBound, now_ms: float) -> float | None:
         """Return when one more may be used where ``part`` count in any window at most.
@@ -42,7 +42,7 @@
         None where that is not known: it takes one of those that are taken.
         """
         first = bisect.bisect_left(self.used_ms, now_ms - bound.window_ms)
-        beyond = self.counted(now_ms - bound.window_ms) - part
+        beyond = self.count_since(now_ms - bound.window_ms) - part
         spaced_ms = max(now_ms, self.last_ready_ms + bound.spacing_ms)
         if beyond < 0:
             return spaced_ms
@@ -50,12 +50,12 @@
             return None
         return max(spaced_ms, self.used_ms[first + int(beyond)] + bound.window_ms)
 
-    def take(self, ready_ms: float) -> None:
+    def record_acquired(self, ready_ms: float) -> None:
         """Take one that may be used from a time on."""
-        self.taken += 1
+        self.acquired += 1
         self.last_ready_ms = ready_ms
 
     @property
     def is_empty(self) -> bool:
         """Whether nothing counts any more."""
-        return not (self.taken or self.used_ms)
+        return not (self.acquired or self.used_ms)
--- a/src/aspengate/gateway/_attempt.py
+++ b/src/aspengate/gateway/_attempt.py
@@ -242,7 +242,7 @@
                 ErrorKind.NO_UPSTREAM, availability.value, where=self.view.identity
             )
             raise RetryableAttemptError(cause, sent=False)
-        if not self.permit.holds(self.dependencies.clock.monotonic_ms()):
+        if not self.permit.confirm(self.dependencies.clock.monotonic_ms()):
             cause = AspengateError(ErrorKind.AT_LIMIT, "no permit", where=self.view.identity)
             raise RetryableAttemptError(cause, sent=False)
 
--- a/src/aspengate/gateway/_daemon.py
+++ b/src/aspengate/gateway/_daemon.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 from aspengate.clock import Clock
-from aspengate.cold_starts import ColdStartPolicy, Contact
+from aspengate.cold_starts import ColdStartPolicy, Connectivity
 from aspengate.configuration import ConfigurationHolder, FleetConfiguration
 from aspengate.connections import ConnectionPool
 from aspengate.crashes import replica_of_run
@@ -100,7 +100,7 @@
             settings.name,
             clock,
             ColdStartPolicy(settings.cold_overage, settings.cold_slack),
-            self._current_contact,
+            self._current_connectivity,
             any_limited=lambda: self.registry.any_limited,
         )
         self.crashes = CrashGuard(
@@ -409,10 +409,10 @@
         self.peering.on_permit = client.handle_reply
         return client
 
-    def _current_contact(self) -> Contact:
+    def _current_connectivity(self) -> Connectivity:
         if self.peering.reaches_store:
-            return Contact.CURRENT
-        return Contact.PEERS if self.peering.members.hears_leader else Contact.NONE
+            return Connectivity.CURRENT
+        return Connectivity.PEERS if self.peering.members.hears_leader else Connectivity.NONE
 
     def _on_replica_gone(self, view: ReplicaView) -> None:
         self.pool.forget(view.incarnation)
--- a/src/aspengate/gateway/_peer_services.py
+++ b/src/aspengate/gateway/_peer_services.py
@@ -83,7 +83,7 @@
         view = self._registry.view_of_incarnation(placed.replica)
         if view is None:
             return
-        self._bounds.cold_starts.note_heard(view.identity)
+        self._bounds.cold_starts.record_peer_request(view.identity)
         view.record_remote_request(placed.tokens, placed.expected_ms, now)
         for part in placed.parts:
             self._parts.record_sent(part, view.identity, now)
@@ -127,7 +127,7 @@
         ready = []
         limiter = self._bounds.limiter
         for view in views:
-            granted = limiter.grant(key, view, most_wait_ms=wait_ms, valid_ms=_PERMIT_VALIDITY_MS)
+            granted = limiter.grant(key, view, max_wait_ms=wait_ms, valid_ms=_PERMIT_VALIDITY_MS)
             if granted is not None:
                 left_ms = math.ceil(max(0.0, granted.ready_ms - self._clock.monotonic_ms()))
                 return PermitReply(
--- a/src/aspengate/gateway/_permit_client.py
+++ b/src/aspengate/gateway/_permit_client.py
@@ -84,7 +84,7 @@
         """
         address = self._address_of(router)
         if not address:
-            self.holders.note_silent(router)
+            self.holders.record_unresponsive(router)
             return None
         number = next(self._numbers)
         pending = _PendingRequest(self._clock.monotonic_ms())
@@ -100,14 +100,14 @@
         reply = pending.reply
         if reply is None:
             self._counters.count("permits.unanswered")
-            self.holders.note_silent(router)
+            self.holders.record_unresponsive(router)
             return None
         ready = {
             views[each.replica].identity: float(each.ready_ms)
             for each in reply.ready
             if each.replica in views
         }
-        self.holders.note_answer(router, ready)
+        self.holders.record_reply(router, ready)
         return self._granted(reply, views, pending, address)
 
     def _granted(
--- a/src/aspengate/gateway/_rate_limited_selection.py
+++ b/src/aspengate/gateway/_rate_limited_selection.py
@@ -9,7 +9,7 @@
 from aspengate.gateway._exchange import Exchange
 from aspengate.gateway._permit_client import PermitClient
 from aspengate.gateway._replica_bounds import ReplicaBounds
-from aspengate.replica_limits import CallerReturns
+from aspengate.replica_limits import RetryAfterSchedule
 from aspengate.replicas import Candidate, PromptShape, ReplicaChooser, ReplicaView
 from aspengate.telemetry import Counters
 
@@ -44,7 +44,7 @@
         self.chooser = chooser
         self.clock = clock
         self.counters = counters
-        self.returns = CallerReturns(clock)
+        self.retry_schedule = RetryAfterSchedule(clock)
 
     def choose(
         self, views: Sequence[ReplicaView], prompt: PromptShape, exchange: Exchange
@@ -81,8 +81,10 @@
         waits = [self.bounds.limiter.ready_in_ms(view) for view in limited]
         waits += [self.asker.holders.ready_in_ms(view) for view in limited]
         ready_ms = min((each for each in waits if each is not None), default=1_000 / per_second)
-        own_per_second = per_second / self.bounds.shares.count
-        back_ms = self.returns.back_in_ms(exchange.fingerprint, service, ready_ms, own_per_second)
+        own_per_second = per_second / self.bounds.shares.router_count
+        back_ms = self.retry_schedule.retry_after_ms(
+            exchange.fingerprint, service, ready_ms, own_per_second
+        )
         reason = (
             f"no permit: {len(limited)} of {ready} replicas name limits, {per_second:g} requests "
             f"a second together; the next permit in {ready_ms:.0f} ms"
--- a/src/aspengate/gateway/_replica_bounds.py
+++ b/src/aspengate/gateway/_replica_bounds.py
@@ -3,14 +3,14 @@
 from collections.abc import Callable, Collection
 
 from aspengate.clock import Clock
-from aspengate.cold_starts import ColdStartLimiter, ColdStartPolicy, Contact
+from aspengate.cold_starts import ColdStartLimiter, ColdStartPolicy, Connectivity
 from aspengate.configuration import Service
 from aspengate.fleet_permits import (
     FleetPermits,
     JointPermit,
     Permit,
     RouterShares,
-    mostly_first,
+    first_weighted_share,
 )
 from aspengate.replica_limits import ReplicaLimiter
 from aspengate.replicas import ReplicaView
@@ -19,8 +19,8 @@
 class ReplicaBounds:
     """Combines the limits on cold replicas with the rate limits that replicas announce.
 
-    Both have to allow a request. ``own`` is this router's name. ``contact`` returns from where it
-    currently learns that replicas become cold, and ``any_limited`` whether any replica may have
+    Both have to allow a request. ``own`` is this router's name. ``connectivity`` returns from where
+    it currently learns that replicas become cold, and ``any_limited`` whether any replica may have
     announced a rate limit.
     """
 
@@ -29,17 +29,17 @@
         own: str,
         clock: Clock,
         cold_policy: ColdStartPolicy,
-        contact: Callable[[], Contact],
+        connectivity: Callable[[], Connectivity],
         any_limited: Callable[[], bool],
     ) -> None:
         self.shares = RouterShares(own, clock)
-        self.cold_starts = ColdStartLimiter(cold_policy, self.shares, clock, contact)
-        permits = FleetPermits(self.shares, clock, part_of_rank=mostly_first)
+        self.cold_starts = ColdStartLimiter(cold_policy, self.shares, clock, connectivity)
+        permits = FleetPermits(self.shares, clock, share_of_rank=first_weighted_share)
         self.limiter = ReplicaLimiter(permits, clock, any_limited)
 
     def set_routers(self, names: Collection[str], count: int) -> None:
         """Set the listed names of the routers that may be alive, and their number."""
-        self.shares.know(names, count)
+        self.shares.set_routers(names, count)
 
     def forget(self, replica: str) -> None:
         """Drop the state of a replica that is gone, except for the requests that it received."""
@@ -48,22 +48,22 @@
 
     def open(self, ready: list[ReplicaView], service: Service) -> list[ReplicaView]:
         """Return a new list of the service's replicas that may receive another request now."""
-        return self.limiter.open(self.cold_starts.open(ready, service))
+        return self.limiter.eligible(self.cold_starts.eligible(ready, service))
 
     def limited(self, ready: list[ReplicaView], service: Service) -> list[ReplicaView]:
         """Return the replicas with a rate limit that no other limit excludes."""
         if not self.limiter.any_limited():
             return []
-        return self.limiter.limited(self.cold_starts.open(ready, service))
+        return self.limiter.limited(self.cold_starts.eligible(ready, service))
 
     def acquire(
         self, view: ReplicaView, service: Service, most_wait_ms: float = 0.0
     ) -> Permit | None:
         """Return a permit to send one request to a replica, or None if no permit is available."""
-        cold = self.cold_starts.take(view, service)
+        cold = self.cold_starts.acquire(view, service)
         if cold is None:
             return None
-        limited = self.limiter.take(view, most_wait_ms)
+        limited = self.limiter.acquire(view, most_wait_ms)
         if limited is None:
             cold.settle(sent=False)
             return None
@@ -73,7 +73,7 @@
         self, view: ReplicaView, service: Service, granted: Permit
     ) -> Permit | None:
         """Return a permit that includes ``granted`` from another router, or None as ``acquire``."""
-        cold = self.cold_starts.take(view, service)
+        cold = self.cold_starts.acquire(view, service)
         if cold is None:
             granted.settle(sent=False)
             return None
--- a/src/aspengate/replica_limits/__init__.py
+++ b/src/aspengate/replica_limits/__init__.py
@@ -2,6 +2,6 @@
 
 from aspengate.replica_limits._holders import PermitHolders
 from aspengate.replica_limits._limiter import ReplicaLimiter
-from aspengate.replica_limits._returns import CallerReturns
+from aspengate.replica_limits._retry_after import RetryAfterSchedule
 
-__all__ = ["CallerReturns", "PermitHolders", "ReplicaLimiter"]
+__all__ = ["PermitHolders", "ReplicaLimiter", "RetryAfterSchedule"]
--- a/src/aspengate/replica_limits/_holders.py
+++ b/src/aspengate/replica_limits/_holders.py
@@ -35,7 +35,7 @@
         replica = view.identity
         with self._lock:
             now = self._clock.monotonic_ms()
-            for router in self.shares.first(replica):
+            for router in self.shares.top_ranked(replica):
                 is_silent = self._silent_until_ms.get(router, now) > now
                 is_early = self._ready_ms.get((router, replica), now) > now
                 if router != self.shares.own and not is_silent and not is_early:
@@ -46,16 +46,16 @@
         """Return when a replica's holders have a permit, as they said; None where none did."""
         with self._lock:
             now = self._clock.monotonic_ms()
-            keys = [(router, view.identity) for router in self.shares.first(view.identity)]
+            keys = [(router, view.identity) for router in self.shares.top_ranked(view.identity)]
             told = [self._ready_ms[key] - now for key in keys if key in self._ready_ms]
         return min((each for each in told if each > 0), default=None)
 
-    def note_silent(self, router: str) -> None:
+    def record_unresponsive(self, router: str) -> None:
         """Note that a router did not answer."""
         with self._lock:
             self._silent_until_ms[router] = self._clock.monotonic_ms() + _SILENT_MS
 
-    def note_answer(self, router: str, ready_in_ms: Mapping[str, float]) -> None:
+    def record_reply(self, router: str, ready_in_ms: Mapping[str, float]) -> None:
         """Note when a router has a permit for each replica; negative for not known."""
         with self._lock:
             now = self._clock.monotonic_ms()
--- a/src/aspengate/replica_limits/_limiter.py
+++ b/src/aspengate/replica_limits/_limiter.py
@@ -27,9 +27,9 @@
     def bound_of(self, view: ReplicaView) -> WindowBound | None:
         """Return what a replica may get from all routers now; None for as much as comes."""
         rate = view.reported.limit.rate_at(self._clock.monotonic_ms())
-        return None if rate is None else WindowBound.of_rate(rate)
+        return None if rate is None else WindowBound.from_rate(rate)
 
-    def open(self, views: list[ReplicaView]) -> list[ReplicaView]:
+    def eligible(self, views: list[ReplicaView]) -> list[ReplicaView]:
         """Return those replicas that may get one more request of this router now, in a new list."""
         if not self.any_limited():
             return list(views)
@@ -52,28 +52,28 @@
         bound = self.bound_of(view)
         return 0.0 if bound is None else self.permits.ready_in_ms(view.identity, bound)
 
-    def take(self, view: ReplicaView, most_wait_ms: float = 0.0) -> Permit | None:
+    def acquire(self, view: ReplicaView, max_wait_ms: float = 0.0) -> Permit | None:
         """Return a permit of this router's own; None where it has none in time."""
         bound = self.bound_of(view)
         if bound is None:
             return _UnlimitedPermit(lambda: self._take_limited(view))
-        return self.permits.take(view.identity, bound, most_wait_ms=most_wait_ms)
+        return self.permits.acquire(view.identity, bound, max_wait_ms=max_wait_ms)
 
     def grant(
-        self, key: GrantKey, view: ReplicaView, *, most_wait_ms: float, valid_ms: float
+        self, key: GrantKey, view: ReplicaView, *, max_wait_ms: float, valid_ms: float
     ) -> Grant | None:
         """Grant another router a permit, where this one has one and the replica needs one."""
         bound = self.bound_of(view)
         if bound is None:
             return None
         return self.permits.grant(
-            key, view.identity, bound, most_wait_ms=most_wait_ms, valid_ms=valid_ms
+            key, view.identity, bound, max_wait_ms=max_wait_ms, valid_ms=valid_ms
         )
 
     def _take_limited(self, view: ReplicaView) -> Permit | None:
         """Return a permit for a replica that may have named a limit by now."""
         bound = self.bound_of(view)
-        return Permit.free() if bound is None else self.permits.take(view.identity, bound)
+        return Permit.unlimited() if bound is None else self.permits.acquire(view.identity, bound)
 
 
 class _UnlimitedPermit(Permit):
@@ -87,7 +87,7 @@
         self._take = take
         self._taken: Permit | None = None
 
-    def holds(self, now_ms: float) -> bool:
+    def confirm(self, now_ms: float) -> bool:
         """Return whether the replica still names no limit, or there is a permit for it."""
         self._taken = self._take()
         return self._taken is not None
--- a/src/aspengate/replica_limits/_returns.py
+++ b/src/aspengate/replica_limits/_retry_after.py
@@ -11,7 +11,7 @@
 _MOST_REMEMBERED = 10_000
 
 
-class CallerReturns:
+class RetryAfterSchedule:
     """Gives each refused caller of a service a time of its own.
 
     Told the time of the next permit, all that wait for it would come back together, and all but one
@@ -25,8 +25,8 @@
         self._told_ms: OrderedDict[str, float] = OrderedDict()
         self._lock = threading.Lock()
 
-    def back_in_ms(
-        self, content: str, service: str, ready_in_ms: float, per_second: float
+    def retry_after_ms(
+        self, fingerprint: str, service: str, ready_in_ms: float, per_second: float
     ) -> float:
         """Return in how many ms the caller of a request is to come back.
 
@@ -36,12 +36,12 @@
         """
         with self._lock:
             now = self._clock.monotonic_ms()
-            told_ms = self._told_ms.pop(content, now)
+            told_ms = self._told_ms.pop(fingerprint, now)
             if told_ms <= now:
                 after_last_ms = self._last_ms.get(service, 0.0) + 1_000 / per_second
                 told_ms = min(now + _LONGEST_MS, max(now + ready_in_ms, after_last_ms))
                 self._last_ms[service] = told_ms
-            self._told_ms[content] = told_ms
+            self._told_ms[fingerprint] = told_ms
             while len(self._told_ms) > _MOST_REMEMBERED:
                 self._told_ms.popitem(last=False)
         return told_ms - now
