--- a/src/aspengate/cold_starts/__init__.py
+++ b/src/aspengate/cold_starts/__init__.py
@@ -1,4 +1,4 @@
-"""How many requests a replica that has started lately may get, from all routers together."""
+"""Limits the requests that all routers together send to a replica that has recently started."""
 
 from aspengate.cold_starts._limiter import ColdStartLimiter, Connectivity
 from aspengate.cold_starts._policy import ColdStartPolicy
--- a/src/aspengate/cold_starts/_limiter.py
+++ b/src/aspengate/cold_starts/_limiter.py
@@ -1,8 +1,8 @@
-"""Decides which replicas may get one more request while some of them are cold.
+"""Decides which replicas may receive another request while some of them are cold.
 
-Load pattern: a failure domain's replicas come back cold while callers press, or one prompt is
-much asked for. The empty replicas are the cheapest choice of every router at once, get more than
-twice what they bear, and fall over.
+Without a limit, the empty replicas are the cheapest choice of every router at once if a failure
+domain's replicas come back cold under load, or if many requests have the same prompt. They then
+receive more than twice the load that they can handle, and crash.
 """
 
 import enum
@@ -18,10 +18,10 @@
 
 
 class Connectivity(enum.Enum):
-    """What a router can know of replicas that have just become cold.
+    """From where a router learns about replicas that have just become cold.
 
-    ``CURRENT``: it hears of each change in the store. ``PEERS``: it does not, but hears what the
-    other routers send where. ``NONE``: neither.
+    ``CURRENT``: it receives each change in the store. ``PEERS``: it does not, but the other routers
+    report to which replicas they send requests. ``NONE``: neither.
     """
 
     CURRENT = "current"
@@ -30,12 +30,13 @@
 
 
 class ColdStartLimiter:
-    """Keeps what all routers together send to a cold replica within the policy.
+    """Keeps the requests of all routers to a cold replica within the policy.
 
-    A replica that is known to be cold gets requests only by this router's part of its permits. A
-    router that does not hear of changes can't know which replicas are cold: it holds the rate of
-    every one, by what it sends and hears, to what a cold one bears; where it hears of nobody, it
-    sends by permits alone. ``connectivity`` tells which holds.
+    A replica that is known to be cold receives requests only within this router's share of its
+    permits. A router that receives no changes from the store can't determine which replicas are
+    cold. It then keeps the rate of every replica, counting its own and the reported requests,
+    within that of a cold one. Without reports from other routers it sends only within its share of
+    the permits. ``connectivity`` returns which case applies.
     """
 
     def __init__(
@@ -49,29 +50,29 @@
         self.permits = FleetPermits(shares, clock, start_ms=policy.start_ms)
         self.connectivity = connectivity
         self._clock = clock
-        self._heard: dict[str, deque[float]] = defaultdict(deque)
+        self._peer_requests: dict[str, deque[float]] = defaultdict(deque)
         self._lock = threading.Lock()
 
     def record_peer_request(self, replica: str) -> None:
-        """Count a request of another router."""
+        """Count a request that another router reports."""
         with self._lock:
-            self._heard[replica].append(self._clock.monotonic_ms())
+            self._peer_requests[replica].append(self._clock.monotonic_ms())
 
     def forget(self, replica: str) -> None:
-        """Forget a replica that is gone, but not what it got within the window.
+        """Drop the state of a replica that is gone, except for its requests within the window.
 
-        Its entry may have lapsed and come back under the same id.
+        They are kept because its record may have lapsed and come back under the same id.
         """
         self.permits.forget(replica)
         with self._lock:
-            for each in list(self._heard):
-                if not self._count_heard(each):
-                    del self._heard[each]
+            for each in list(self._peer_requests):
+                if not self._count_peer_requests(each):
+                    del self._peer_requests[each]
 
     def eligible(self, views: list[ReplicaView], service: Service) -> list[ReplicaView]:
-        """Return those of a service's replicas that may get one more request now, in a new list.
+        """Return a new list of the service's replicas that may receive another request now.
 
-        While none may be cold, which is nearly always, nothing is counted for each replica.
+        It counts no requests per replica if none of them can be cold, which is the usual case.
         """
         if not service.cold_per_second:
             return list(views)
@@ -86,19 +87,19 @@
             view
             for view in views
             if self.permits.count_in_window(view.identity, bound)
-            < self._part(view, service, bound, connectivity, now)
+            < self._share(view, service, bound, connectivity, now)
         ]
 
     def acquire(self, view: ReplicaView, service: Service) -> Permit | None:
-        """Count one more request to a replica; None where it may get none after all."""
+        """Return a permit to send a request to a replica, or None if it may not receive one now."""
         if not service.cold_per_second:
             return Permit.unlimited()
         bound = self.policy.bound(service.cold_per_second)
         now = self._clock.monotonic_ms()
-        part = self._part(view, service, bound, self.connectivity(), now)
-        return self.permits.acquire(view.identity, bound, share=part)
+        share = self._share(view, service, bound, self.connectivity(), now)
+        return self.permits.acquire(view.identity, bound, share=share)
 
-    def _part(
+    def _share(
         self,
         view: ReplicaView,
         service: Service,
@@ -106,18 +107,18 @@
         connectivity: Connectivity,
         now: float,
     ) -> float:
-        """Return how many requests of this router may count at a replica at any time."""
+        """Return the maximum number of this router's requests that count at any time."""
         if connectivity is Connectivity.NONE or view.is_cold(now, service.cold_start_ms):
             return self.permits.share(view.identity, bound)
         if connectivity is Connectivity.PEERS:
             with self._lock:
-                return bound.permits - self._count_heard(view.identity)
+                return bound.permits - self._count_peer_requests(view.identity)
         return float("inf")
 
-    def _count_heard(self, replica: str) -> int:
-        """Return how many requests of other routers count now; call it with the lock held."""
-        heard = self._heard[replica]
+    def _count_peer_requests(self, replica: str) -> int:
+        """Return how many requests of other routers count now; the lock must be held."""
+        times = self._peer_requests[replica]
         oldest_ms = self._clock.monotonic_ms() - self.policy.window_ms
-        while heard and heard[0] < oldest_ms:
-            heard.popleft()
-        return len(heard)
+        while times and times[0] < oldest_ms:
+            times.popleft()
+        return len(times)
--- a/src/aspengate/cold_starts/_policy.py
+++ b/src/aspengate/cold_starts/_policy.py
@@ -1,4 +1,4 @@
-"""The bound on what a cold replica may get, as the platform states it."""
+"""The platform's limit on the requests that a cold replica receives."""
 
 from dataclasses import dataclass
 
@@ -7,11 +7,11 @@
 
 @dataclass(frozen=True)
 class ColdStartPolicy:
-    """In any second a cold replica gets at most its rate x ``overage`` + ``slack`` requests.
+    """Allows a cold replica at most its rate x ``overage`` + ``slack`` requests in any second.
 
-    The rate is that of its service, in requests a second. Within ``start_ms`` all routers have
-    heard of one that starts. Requests count for ``window_ms``: a second, and a twentieth of one
-    for clocks that run unevenly.
+    The rate is that of its service, in requests per second. ``start_ms`` is the time within which
+    all routers are aware of a router that starts. Requests count for ``window_ms``: one second, and
+    5 % more for clocks that run at different speeds.
     """
 
     overage: float = 1.0
@@ -20,11 +20,11 @@
     start_ms: float = 3_000.0
 
     def bound(self, per_second: float) -> WindowBound:
-        """Return what the routers share out for one cold replica.
+        """Return the bound whose permits the routers divide for one cold replica.
 
-        The slack is not shared out: it covers what arrives before its routers know that a
-        replica is cold, and routers of which others have not heard.
+        The slack is not divided: it covers requests that arrive before the routers are aware that
+        the replica is cold, and routers of which the others are not aware yet.
         """
-        most = int(per_second * self.overage + self.slack)
-        permits = min(most, max(1, int(per_second * self.overage)))
+        max_requests = int(per_second * self.overage + self.slack)
+        permits = min(max_requests, max(1, int(per_second * self.overage)))
         return WindowBound(permits, self.window_ms)
--- a/src/aspengate/fleet_permits/__init__.py
+++ b/src/aspengate/fleet_permits/__init__.py
@@ -1,7 +1,8 @@
-"""Bounds of so many requests in any window, from all routers together, of which each knows a part.
+"""Sliding-window rate limits on the requests that all routers together send to a replica.
 
-Each router holds a part of a bound's permits, works out which by itself, and may grant them to
-others. ``docs/design/fleet-permits.md`` shows why all of them together never exceed the bound.
+A limit's permits are divided among the routers. Each router computes its own share without
+exchanging messages, and can grant permits from it to other routers.
+``docs/design/fleet-permits.md`` explains why the routers together never exceed the limit.
 """
 
 from aspengate.fleet_permits._bound import WindowBound
--- a/src/aspengate/fleet_permits/_bound.py
+++ b/src/aspengate/fleet_permits/_bound.py
@@ -1,27 +1,27 @@
-"""How many requests a replica may get in any window, from all routers together."""
+"""The limit on the requests that a replica receives from all routers in any window."""
 
 import math
 from dataclasses import dataclass
 
-# A window holds so many permits where that makes it neither shorter nor longer than the two times
-# below, in ms: in a short one few requests that come together are served, in a long one many are
-# sent at one moment. It holds two at least, so that one router's death leaves a permit.
-_USUAL_PERMITS = 5
-_LEAST_PERMITS = 2
-_SHORTEST_MS = 1_000.0
-_LONGEST_MS = 4_000.0
-# Two requests of one router are this part of the mean time between permits apart: prompts that
-# begin together hold each other up, and the streams that run beside them.
-_SPACING = 0.5
-# Rounding of a rate times a time must not add a permit.
-_ROUNDING = 1e-9
+# A window holds the target number of permits unless its length would be outside the limits below.
+# A short window serves only a small burst of requests, a long one lets a large burst through at
+# once. With at least two permits, one remains if the router that holds the other one dies.
+_TARGET_PERMITS = 5
+_MIN_PERMITS = 2
+_MIN_WINDOW_MS = 1_000.0
+_MAX_WINDOW_MS = 4_000.0
+# The minimum distance of two requests of one router, as a fraction of the mean time between
+# permits. Prompts that start together delay each other and the streams that run beside them.
+_SPACING_RATIO = 0.5
+# Keeps floating-point error in rate x time from adding a permit.
+_ROUNDING_TOLERANCE = 1e-9
 
 
 @dataclass(frozen=True)
 class WindowBound:
-    """At most ``permits`` requests in any ``window_ms``.
+    """Allows at most ``permits`` requests in any window of ``window_ms``.
 
-    Those of one router are ``spacing_ms`` apart at least.
+    Requests of the same router are at least ``spacing_ms`` apart.
     """
 
     permits: int
@@ -30,12 +30,13 @@
 
     @classmethod
     def from_rate(cls, per_second: float) -> "WindowBound":
-        """Return the bound that allows so many requests a second in the long run.
+        """Return the bound with an average rate of ``per_second`` requests per second.
 
-        The window is a whole number of requests long, also for less than one in 4 s: rounded to
-        whole permits in a fixed window, 1.1 requests a second would be 1 and 0.2 none.
+        The window length is adjusted to a whole number of permits, also for rates below one request
+        in 4 s. Rounding the permits in a window of fixed length would turn 1.1 requests per second
+        into 1, and 0.2 into none.
         """
-        usual_ms = _USUAL_PERMITS * 1_000 / per_second
-        window_ms = min(_LONGEST_MS, max(_SHORTEST_MS, usual_ms))
-        permits = max(_LEAST_PERMITS, math.ceil(per_second * window_ms / 1_000 - _ROUNDING))
-        return cls(permits, permits * 1_000 / per_second, _SPACING * 1_000 / per_second)
+        target_ms = _TARGET_PERMITS * 1_000 / per_second
+        window_ms = min(_MAX_WINDOW_MS, max(_MIN_WINDOW_MS, target_ms))
+        permits = max(_MIN_PERMITS, math.ceil(per_second * window_ms / 1_000 - _ROUNDING_TOLERANCE))
+        return cls(permits, permits * 1_000 / per_second, _SPACING_RATIO * 1_000 / per_second)
--- a/src/aspengate/fleet_permits/_permit.py
+++ b/src/aspengate/fleet_permits/_permit.py
@@ -1,13 +1,13 @@
-"""One request's permission to be sent to a replica."""
+"""Permits to send one request to a replica."""
 
 from collections.abc import Callable
 
 
 class Permit:
-    """Counts against its bound from when it is taken, and for a window after it was used.
+    """Allows one request to be sent between ``ready_ms`` and ``until_ms``, in monotonic time.
 
-    It may be used from ``ready_ms`` and until ``until_ms``, in monotonic time. ``on_settled`` is
-    called once, with whether the request was sent.
+    The permit counts against its bound from its acquisition until a window after its use.
+    ``on_settled`` is called once, with whether the request was sent.
     """
 
     def __init__(
@@ -23,29 +23,32 @@
 
     @classmethod
     def unlimited(cls) -> "Permit":
-        """Return one that counts against nothing."""
+        """Return a permit that counts against no bound."""
         return cls(lambda _: None)
 
     def confirm(self, now_ms: float) -> bool:
-        """Return whether the request may still be sent; ask it just before the first byte goes."""
+        """Return whether the request may still be sent.
+
+        Called immediately before the first byte is sent.
+        """
         return now_ms <= self.until_ms
 
     def settle(self, *, sent: bool) -> None:
-        """Tell whether the request has been sent; only the first call counts."""
+        """Report whether the request was sent; calls after the first one have no effect."""
         settled, self._on_settled = self._on_settled, None
         if settled is not None:
             settled(sent)
 
 
 class JointPermit(Permit):
-    """Stands for several permits, each of which is needed."""
+    """Combines several permits, all of which are required."""
 
     def __init__(self, *permits: Permit) -> None:
         super().__init__(self._settle_all, ready_ms=max(each.ready_ms for each in permits))
         self._permits = permits
 
     def confirm(self, now_ms: float) -> bool:
-        """Return whether all of them hold."""
+        """Return whether every permit still allows the request."""
         return all(each.confirm(now_ms) for each in self._permits)
 
     def _settle_all(self, sent: bool) -> None:
--- a/src/aspengate/fleet_permits/_permits.py
+++ b/src/aspengate/fleet_permits/_permits.py
@@ -1,4 +1,4 @@
-"""One router's part of bounds that hold for all routers together."""
+"""Acquisition and granting of this router's permits for the bounds that all routers keep."""
 
 import threading
 from collections import defaultdict
@@ -10,7 +10,7 @@
 from aspengate.fleet_permits._shares import RouterShares, ShareOfRank, even_share
 from aspengate.fleet_permits._usage import Usage
 
-# A grant that is asked for, by the session that asks and its number there.
+# Identifies a grant by the session of the requesting router and the request's number there.
 GrantKey = tuple[str, int]
 
 
@@ -18,8 +18,8 @@
 class Grant:
     """A permit that another router may use from ``ready_ms`` until ``until_ms``.
 
-    Both are in the granting router's monotonic time. Where the other one does not tell before what
-    became of it, it counts as used at the end.
+    Both times are in the granting router's monotonic time. If the other router does not report by
+    ``until_ms`` whether it used the permit, the permit counts as used at that time.
     """
 
     subject: str
@@ -28,10 +28,12 @@
 
 
 class FleetPermits:
-    """Hands out this router's permits, to its own requests and to other routers.
+    """Issues this router's permits to its own requests and to other routers.
 
-    Within ``start_ms`` all routers have heard of one that starts, and what a run that has ended
-    was sending has been sent. ``share_of_rank`` tells how many permits the routers hold.
+    ``start_ms`` is the time within which all other routers are aware of a router that starts, and
+    requests that an earlier process of that router was sending have been sent. ``share_of_rank``
+    divides the permits among the routers. A subject names what a bound applies to, such as a
+    replica. All methods are thread-safe.
     """
 
     def __init__(
@@ -51,23 +53,23 @@
         self._lock = threading.Lock()
 
     def share(self, subject: str, bound: WindowBound) -> int:
-        """Return how many permits of a bound this router holds.
+        """Return the number of a bound's permits that this router holds.
 
-        None before all can have heard of this run of it, and what an earlier one used counts no
-        more.
+        The share is 0 until all routers can be aware of this process, and permits that an earlier
+        process of this router used no longer count.
         """
         if self.shares.known_for_ms() < self.start_ms + bound.window_ms:
             return 0
         return self.shares.share(subject, bound.permits, self.share_of_rank)
 
     def count_in_window(self, subject: str, bound: WindowBound) -> int:
-        """Return how many of this router's permits count within a bound's window now."""
+        """Return how many of this router's permits count in the current window."""
         with self._lock:
             now = self._clock.monotonic_ms()
-            return self._current(subject, bound, now).count_since(now - bound.window_ms)
+            return self._current_usage(subject, bound, now).count_since(now - bound.window_ms)
 
     def ready_in_ms(self, subject: str, bound: WindowBound) -> float | None:
-        """Return in how many ms one may be used; None where that is not known here."""
+        """Return the time until a permit is ready, in ms, or None if it can't be determined."""
         with self._lock:
             now = self._clock.monotonic_ms()
             ready_ms = self._ready_ms(subject, bound, now, self.share(subject, bound))
@@ -81,9 +83,10 @@
         max_wait_ms: float = 0.0,
         share: float | None = None,
     ) -> Permit | None:
-        """Return a permit that may be used within ``max_wait_ms``; None where there is none.
+        """Return a permit that is ready within ``max_wait_ms``, or None.
 
-        ``share`` is how many may count at any time, where that is not this router's part.
+        ``share`` is the maximum number of permits that count at any time; the default is this
+        router's share.
         """
         with self._lock:
             now = self._clock.monotonic_ms()
@@ -103,10 +106,11 @@
         max_wait_ms: float,
         valid_ms: float,
     ) -> Grant | None:
-        """Grant another router a permit that is ready within ``max_wait_ms``, for ``valid_ms``.
+        """Grant another router a permit that is ready within ``max_wait_ms``, or return None.
 
-        It counts as one of this router's own from now on, so that nobody has to agree on who
-        grants: whoever holds no permit has none to grant.
+        The permit is valid for ``valid_ms`` once it is ready. It counts against this router's own
+        share from now on, so the routers need not agree on which of them grants permits: a router
+        without a share has none to grant.
         """
         with self._lock:
             now = self._clock.monotonic_ms()
@@ -114,22 +118,22 @@
             if ready_ms is None or ready_ms - now > max_wait_ms or key in self._grants:
                 return None
             self._usage[subject].record_acquired(ready_ms)
-            made = self._grants[key] = Grant(subject, ready_ms, ready_ms + valid_ms)
-        return made
+            granted = self._grants[key] = Grant(subject, ready_ms, ready_ms + valid_ms)
+        return granted
 
     def settle_grant(self, key: GrantKey, *, sent: bool) -> None:
-        """Take another router's word on what became of a grant."""
+        """Record another router's report of whether it used a grant."""
         with self._lock:
-            made = self._grants.pop(key, None)
-            if made is not None:
-                # The word comes after the sending, so that the permit counts no shorter than it
-                # must.
-                self._note(made.subject, self._clock.monotonic_ms(), sent=sent)
+            granted = self._grants.pop(key, None)
+            if granted is not None:
+                # The report arrives after the request was sent, so the permit counts at least as
+                # long as required.
+                self._record_settled(granted.subject, self._clock.monotonic_ms(), sent=sent)
 
     def forget(self, subject: str) -> None:
-        """Forget a subject that is gone, but not what was used of it.
+        """Drop the cached rank of a subject that is gone, and expired usage of all subjects.
 
-        It may come back under the same name.
+        Unexpired usage is kept because the subject may come back under the same name.
         """
         with self._lock:
             self.shares.forget(subject)
@@ -141,11 +145,11 @@
 
     def _settle(self, subject: str, *, sent: bool) -> None:
         with self._lock:
-            # It counts from now and not from when it was taken: a request that was held up in
-            # between would meet those of the next window at the replica.
-            self._note(subject, self._clock.monotonic_ms(), sent=sent)
+            # The use counts from now rather than from the acquisition: a request that was delayed
+            # in between would otherwise reach the replica together with those of the next window.
+            self._record_settled(subject, self._clock.monotonic_ms(), sent=sent)
 
-    def _note(self, subject: str, at_ms: float, *, sent: bool) -> None:
+    def _record_settled(self, subject: str, at_ms: float, *, sent: bool) -> None:
         usage = self._usage[subject]
         if sent:
             usage.record_used(at_ms)
@@ -153,17 +157,17 @@
             usage.acquired -= 1
 
     def _ready_ms(
-        self, subject: str, bound: WindowBound, now_ms: float, part: float
+        self, subject: str, bound: WindowBound, now_ms: float, share: float
     ) -> float | None:
-        """Return when one more may be used; call it with the lock held."""
-        return self._current(subject, bound, now_ms).ready_ms(part, bound, now_ms)
-
-    def _current(self, subject: str, bound: WindowBound, now_ms: float) -> Usage:
-        """Return what counts of a subject; call it with the lock held."""
-        ended = [key for key, made in self._grants.items() if made.until_ms <= now_ms]
-        for key in ended:
-            made = self._grants.pop(key)
-            self._note(made.subject, made.until_ms, sent=True)
+        """Return when another permit is ready; the lock must be held."""
+        return self._current_usage(subject, bound, now_ms).ready_ms(share, bound, now_ms)
+
+    def _current_usage(self, subject: str, bound: WindowBound, now_ms: float) -> Usage:
+        """Return a subject's usage without expired entries; the lock must be held."""
+        expired = [key for key, granted in self._grants.items() if granted.until_ms <= now_ms]
+        for key in expired:
+            granted = self._grants.pop(key)
+            self._record_settled(granted.subject, granted.until_ms, sent=True)
         usage = self._usage[subject]
         usage.window_ms = max(usage.window_ms, bound.window_ms)
         usage.discard_expired(now_ms)
--- a/src/aspengate/fleet_permits/_shares.py
+++ b/src/aspengate/fleet_permits/_shares.py
@@ -1,4 +1,4 @@
-"""Which routers hold the permits of a bound, worked out by each of them without a message."""
+"""Divides a bound's permits among the routers without any messages between them."""
 
 import heapq
 from collections.abc import Callable, Collection
@@ -7,42 +7,45 @@
 
 from aspengate.clock import Clock
 
-# The router that ranks first holds this part of a bound's permits where the others ask it for
-# them: it finds at once whether one is free. The rest is used without asking, also while the
-# first one is away.
-_FIRST_PART = 0.75
+# The fraction of a bound's permits that the router with rank 0 holds if the other routers request
+# permits from it: it can tell at once whether one is available. The other routers use the rest
+# without a request, also while the first router is unavailable.
+_FIRST_FRACTION = 0.75
 
-# How many permits the router of a rank has, the first rank being 0, of a number of routers and of
-# permits in all. It never grows with the rank or with the number of routers, so that a router
-# which counts more routers than there are takes no more than its part.
+# Returns the number of permits of a router from its rank (0 is the first), the number of routers
+# and the total number of permits. The result never grows with the rank or with the number of
+# routers, so a router that overestimates their number does not exceed its share.
 ShareOfRank = Callable[[int, int, int], int]
 
 
 def even_share(rank: int, routers: int, total: int) -> int:
-    """Return as many permits for each rank, and one more for the first ones.
+    """Return an equal share for each rank; the first ranks receive the remainder, one each.
 
-    Load pattern: replicas that bear little while many routers send to them, each a few requests. An
-    equal share for each router does not work there: a share is at least one request, and 26 routers
-    with one request each send 26 where 14 are allowed.
+    It suits replicas with a low limit to which many routers send a few requests each. Such a share
+    can be 0. With a minimum of one request per router, 26 routers would send 26 requests where 14
+    are allowed.
     """
     return total // routers + (rank < total % routers)
 
 
 def first_weighted_share(rank: int, routers: int, total: int) -> int:
-    """Return most permits for the first rank, and the rest evenly for the others.
+    """Return most permits for the first rank, and equal shares of the rest for the others.
 
-    Load pattern: all replicas of a service bear little, and their callers are spread over more
-    routers than there are permits. Most routers have none of their own then, and those that have
-    one seldom get a request while it is free.
+    It suits services whose replicas all have low limits, with callers spread over more routers than
+    there are permits. With equal shares most routers would have no permit of their own, and the
+    others would seldom receive a request while theirs is available.
     """
     if routers == 1:
         return total
-    rest = int(total * (1 - _FIRST_PART)) or total // 2
+    rest = int(total * (1 - _FIRST_FRACTION)) or total // 2
     return even_share(rank - 1, routers - 1, rest) if rank else total - rest
 
 
 class RouterShares:
-    """Which routers may be alive, and where this one ranks among them for each subject."""
+    """Ranks the routers that may be alive for each subject, by rendezvous hashing.
+
+    ``own`` is this router's name.
+    """
 
     def __init__(self, own: str, clock: Clock) -> None:
         self.own = own
@@ -51,10 +54,10 @@
         self._routers: tuple[str, ...] = (own,)
         self._count = 1
         self._ranks: dict[str, int] = {}
-        self._first: dict[str, tuple[str, ...]] = {}
+        self._top_ranked: dict[str, tuple[str, ...]] = {}
 
     def set_routers(self, routers: Collection[str], count: int) -> None:
-        """Take over the names of the routers known, and how many there are by all accounts."""
+        """Set the names of the known routers, and the highest reported number of routers."""
         if self._known_since_ms is None:
             self._known_since_ms = self._clock.monotonic_ms()
         names = tuple(sorted({self.own, *routers}))
@@ -62,23 +65,23 @@
         if names == self._routers and count == self._count:
             return
         self._routers, self._count = names, count
-        self._ranks, self._first = {}, {}
+        self._ranks, self._top_ranked = {}, {}
 
     @property
     def router_count(self) -> int:
-        """How many routers there are by all accounts, this one among them."""
+        """The highest reported number of routers, including this one."""
         return self._count
 
     def known_for_ms(self) -> float:
-        """Return for how long the fleet was known, in ms; negative where it is not."""
+        """Return the time since the routers were first set, in ms; ``-inf`` before that."""
         if self._known_since_ms is None:
             return float("-inf")
         return self._clock.monotonic_ms() - self._known_since_ms
 
     def share(self, subject: str, total: int, share_of_rank: ShareOfRank = even_share) -> int:
-        """Return how many of a subject's permits this router holds.
+        """Return how many of a subject's ``total`` permits this router holds.
 
-        Routers whose names are not known here are taken to rank before this one.
+        Routers whose names are not known here are assumed to rank before this one.
         """
         rank = self._ranks.get(subject)
         if rank is None:
@@ -86,23 +89,24 @@
         return share_of_rank(rank, self._count, total)
 
     def top_ranked(self, subject: str) -> tuple[str, ...]:
-        """Return the two routers that rank first for a subject, as far as names are known."""
-        found = self._first.get(subject)
-        if found is None:
-            found = tuple(heapq.nlargest(2, self._routers, lambda each: _weight(subject, each)))
-            self._first[subject] = found
-        return found
+        """Return the two routers that rank first for a subject among those with known names."""
+        routers = self._top_ranked.get(subject)
+        if routers is None:
+            routers = tuple(heapq.nlargest(2, self._routers, lambda each: _weight(subject, each)))
+            self._top_ranked[subject] = routers
+        return routers
 
     def forget(self, subject: str) -> None:
-        """Forget a subject that is gone."""
+        """Drop the cached ranks of a subject that is gone."""
         self._ranks.pop(subject, None)
-        self._first.pop(subject, None)
+        self._top_ranked.pop(subject, None)
 
     def _rank(self, subject: str) -> int:
         own = _weight(subject, self.own)
-        before = sum(_weight(subject, each) > own for each in self._routers)
-        return before + self._count - len(self._routers)
+        higher = sum(_weight(subject, each) > own for each in self._routers)
+        return higher + self._count - len(self._routers)
 
 
 def _weight(subject: str, router: str) -> int:
+    """Return a router's rendezvous hash for a subject; the highest weight ranks first."""
     return xxhash.xxh64_intdigest(f"{subject}/{router}".encode())
--- a/src/aspengate/replica_limits/__init__.py
+++ b/src/aspengate/replica_limits/__init__.py
@@ -1,4 +1,4 @@
-"""Keeps what all routers together send to a replica within the limit that it names."""
+"""Keeps the requests of all routers to a replica within the rate limit that it announces."""
 
 from aspengate.replica_limits._holders import PermitHolders
 from aspengate.replica_limits._limiter import ReplicaLimiter
--- a/src/aspengate/replica_limits/_holders.py
+++ b/src/aspengate/replica_limits/_holders.py
@@ -1,4 +1,4 @@
-"""Which router is asked for a permit, and which is not asked again yet."""
+"""Selects the router from which to request a permit, and delays repeated requests."""
 
 import threading
 from collections import OrderedDict
@@ -8,61 +8,61 @@
 from aspengate.fleet_permits import RouterShares
 from aspengate.replicas import ReplicaView
 
-# A router that did not answer is asked again after so long, in ms.
-_SILENT_MS = 1_000.0
-# Where it is not known when a permit is ready, its holder is asked again after so long, in ms.
-_UNKNOWN_MS = 200.0
-# So many answers are remembered: of each holder the replicas that one router sends to.
-_MOST_REMEMBERED = 10_000
+# The delay before a router that did not reply is asked again, in ms.
+_UNRESPONSIVE_BACKOFF_MS = 1_000.0
+# The delay before a holder that can't tell when a permit is ready is asked again, in ms.
+_UNKNOWN_READY_MS = 200.0
+# The maximum number of remembered replies: one for each holder and replica that this router uses.
+_MAX_REPLIES = 10_000
 
 
 class PermitHolders:
-    """Finds who holds permits for limited replicas, by what other routers have answered."""
+    """Finds the routers that hold permits for rate-limited replicas, based on their replies."""
 
     def __init__(self, shares: RouterShares, clock: Clock) -> None:
         self.shares = shares
         self._clock = clock
-        self._silent_until_ms: dict[str, float] = {}
+        self._backoff_until_ms: dict[str, float] = {}
         self._ready_ms: OrderedDict[tuple[str, str], float] = OrderedDict()
         self._lock = threading.Lock()
 
     def holder_of(self, view: ReplicaView) -> str:
-        """Return the router to ask for a permit for a replica; empty where there is none.
+        """Return the router from which to request a permit for a replica, or an empty string.
 
-        It is the one that ranks first, which holds most permits, or the next one while that does
-        not answer or has none.
+        It is the router that ranks first, which holds most permits, or the second one while the
+        first does not reply or has no permit.
         """
         replica = view.identity
         with self._lock:
             now = self._clock.monotonic_ms()
             for router in self.shares.top_ranked(replica):
-                is_silent = self._silent_until_ms.get(router, now) > now
+                is_backing_off = self._backoff_until_ms.get(router, now) > now
                 is_early = self._ready_ms.get((router, replica), now) > now
-                if router != self.shares.own and not is_silent and not is_early:
+                if router != self.shares.own and not is_backing_off and not is_early:
                     return router
         return ""
 
     def ready_in_ms(self, view: ReplicaView) -> float | None:
-        """Return when a replica's holders have a permit, as they said; None where none did."""
+        """Return the reported time until a holder has a permit, in ms, or None if it is unknown."""
         with self._lock:
             now = self._clock.monotonic_ms()
             keys = [(router, view.identity) for router in self.shares.top_ranked(view.identity)]
-            told = [self._ready_ms[key] - now for key in keys if key in self._ready_ms]
-        return min((each for each in told if each > 0), default=None)
+            waits = [self._ready_ms[key] - now for key in keys if key in self._ready_ms]
+        return min((each for each in waits if each > 0), default=None)
 
     def record_unresponsive(self, router: str) -> None:
-        """Note that a router did not answer."""
+        """Record that a router did not reply."""
         with self._lock:
-            self._silent_until_ms[router] = self._clock.monotonic_ms() + _SILENT_MS
+            self._backoff_until_ms[router] = self._clock.monotonic_ms() + _UNRESPONSIVE_BACKOFF_MS
 
     def record_reply(self, router: str, ready_in_ms: Mapping[str, float]) -> None:
-        """Note when a router has a permit for each replica; negative for not known."""
+        """Record the times until a router has permits for replicas, in ms; negative if unknown."""
         with self._lock:
             now = self._clock.monotonic_ms()
-            self._silent_until_ms.pop(router, None)
+            self._backoff_until_ms.pop(router, None)
             for replica, in_ms in ready_in_ms.items():
-                wait_ms = _UNKNOWN_MS if in_ms < 0 else in_ms
+                wait_ms = _UNKNOWN_READY_MS if in_ms < 0 else in_ms
                 self._ready_ms[router, replica] = now + wait_ms
                 self._ready_ms.move_to_end((router, replica))
-            while len(self._ready_ms) > _MOST_REMEMBERED:
+            while len(self._ready_ms) > _MAX_REPLIES:
                 self._ready_ms.popitem(last=False)
--- a/src/aspengate/replica_limits/_limiter.py
+++ b/src/aspengate/replica_limits/_limiter.py
@@ -1,7 +1,8 @@
-"""Decides which replicas may get one more request while some of them name limits.
+"""Decides which replicas may receive another request while some of them announce rate limits.
 
-Load pattern: a replica in need has little in flight and answers soon, so that it is the cheapest
-choice of every router at once, the more so the more the others fail or turn away.
+An overloaded replica that announces a limit has few requests in flight and answers quickly, so it
+looks like the cheapest choice to every router at once, even more if the other replicas fail or
+refuse requests.
 """
 
 from collections.abc import Callable
@@ -12,9 +13,9 @@
 
 
 class ReplicaLimiter:
-    """Hands out permits for replicas that name a limit; the others need none.
+    """Issues permits for replicas that announce a rate limit; the others need none.
 
-    ``any_limited`` tells whether there may be one that does.
+    ``any_limited`` returns whether any replica may have announced one.
     """
 
     def __init__(
@@ -25,44 +26,44 @@
         self._clock = clock
 
     def bound_of(self, view: ReplicaView) -> WindowBound | None:
-        """Return what a replica may get from all routers now; None for as much as comes."""
+        """Return the current bound of a replica for all routers, or None if it has no limit."""
         rate = view.reported.limit.rate_at(self._clock.monotonic_ms())
         return None if rate is None else WindowBound.from_rate(rate)
 
     def eligible(self, views: list[ReplicaView]) -> list[ReplicaView]:
-        """Return those replicas that may get one more request of this router now, in a new list."""
+        """Return a new list of the replicas that may receive another request of this router now."""
         if not self.any_limited():
             return list(views)
         return [view for view in views if self.ready_in_ms(view) == 0]
 
     def limited(self, views: list[ReplicaView]) -> list[ReplicaView]:
-        """Return those replicas that name a limit."""
+        """Return the replicas that announce a rate limit."""
         if not self.any_limited():
             return []
         return [view for view in views if self.bound_of(view) is not None]
 
     def unlimited(self, views: list[ReplicaView]) -> list[ReplicaView]:
-        """Return those replicas that name no limit."""
+        """Return the replicas that announce no rate limit."""
         if not self.any_limited():
             return views
         return [view for view in views if self.bound_of(view) is None]
 
     def ready_in_ms(self, view: ReplicaView) -> float | None:
-        """Return in how many ms this router has a permit of its own; None where that is open."""
+        """Return the time until this router has a permit of its own, in ms, or None if unknown."""
         bound = self.bound_of(view)
         return 0.0 if bound is None else self.permits.ready_in_ms(view.identity, bound)
 
     def acquire(self, view: ReplicaView, max_wait_ms: float = 0.0) -> Permit | None:
-        """Return a permit of this router's own; None where it has none in time."""
+        """Return one of this router's permits that is ready within ``max_wait_ms``, or None."""
         bound = self.bound_of(view)
         if bound is None:
-            return _UnlimitedPermit(lambda: self._take_limited(view))
+            return _UnlimitedPermit(lambda: self._acquire_if_limited(view))
         return self.permits.acquire(view.identity, bound, max_wait_ms=max_wait_ms)
 
     def grant(
         self, key: GrantKey, view: ReplicaView, *, max_wait_ms: float, valid_ms: float
     ) -> Grant | None:
-        """Grant another router a permit, where this one has one and the replica needs one."""
+        """Grant another router a permit; None if none is available or the replica needs none."""
         bound = self.bound_of(view)
         if bound is None:
             return None
@@ -70,28 +71,29 @@
             key, view.identity, bound, max_wait_ms=max_wait_ms, valid_ms=valid_ms
         )
 
-    def _take_limited(self, view: ReplicaView) -> Permit | None:
-        """Return a permit for a replica that may have named a limit by now."""
+    def _acquire_if_limited(self, view: ReplicaView) -> Permit | None:
+        """Return a permit for a replica that may have announced a limit in the meantime."""
         bound = self.bound_of(view)
         return Permit.unlimited() if bound is None else self.permits.acquire(view.identity, bound)
 
 
 class _UnlimitedPermit(Permit):
-    """For a replica that named no limit when it was chosen.
+    """Allows a request to a replica that announced no rate limit when it was chosen.
 
-    It may have named one since, while a connection came up. The request needs a permit then.
+    The replica may announce one while the connection is being opened. The request then needs a
+    permit, which is acquired when this one is confirmed.
     """
 
-    def __init__(self, take: Callable[[], Permit | None]) -> None:
-        super().__init__(self._settle_taken)
-        self._take = take
-        self._taken: Permit | None = None
+    def __init__(self, acquire: Callable[[], Permit | None]) -> None:
+        super().__init__(self._settle_acquired)
+        self._acquire = acquire
+        self._acquired: Permit | None = None
 
     def confirm(self, now_ms: float) -> bool:
-        """Return whether the replica still names no limit, or there is a permit for it."""
-        self._taken = self._take()
-        return self._taken is not None
+        """Acquire a permit if one is required; return whether the request may be sent."""
+        self._acquired = self._acquire()
+        return self._acquired is not None
 
-    def _settle_taken(self, sent: bool) -> None:
-        if self._taken is not None:
-            self._taken.settle(sent=sent)
+    def _settle_acquired(self, sent: bool) -> None:
+        if self._acquired is not None:
+            self._acquired.settle(sent=sent)
