--- a/features/cold_starts.feature
+++ b/features/cold_starts.feature
@@ -1,11 +1,11 @@
-Feature: All routers together send a cold replica no more than it bears
+Feature: All routers together send a cold replica no more requests than it can handle
 
-  # Replicas that had come back cold got 16 to 18 requests in a second, where 14 were allowed, and
-  # fell over. Every router took the empty replicas for the cheapest, and none knew of the others'
-  # requests: the record of a replica says how long it is cold, and nothing went by it.
-  Scenario Outline: The parts of all routers come to no more than a replica's permits
-    Given <routers> routers of which each knows all that run, and perhaps some that do not
-    Then the parts of those that run come to no more than the permits of any replica
+  # Every router considered empty replicas the cheapest and was not aware of the requests of the
+  # others. A replica's record states how long it stays cold, but nothing used that. Replicas that
+  # had come back cold received 16 to 18 requests in a second where 14 were allowed, and crashed.
+  Scenario Outline: The shares of all routers add up to at most a replica's permits
+    Given <routers> routers that each know all running routers, and possibly stopped ones
+    Then the shares of the running routers add up to at most the permits of any replica
 
     Examples:
       | routers |
@@ -15,9 +15,9 @@
       | 68      |
       | 760     |
 
-  Scenario Outline: With full knowledge nothing that a cold replica bears is left unused
+  Scenario Outline: All of a cold replica's permits are used if the routers know each other
     Given <routers> routers that know each other
-    Then their parts come to exactly the permits of each replica
+    Then their shares add up to exactly the permits of each replica
 
     Examples:
       | routers |
@@ -26,10 +26,10 @@
       | 68      |
       | 760     |
 
-  Scenario Outline: Whatever routers know, send and suffer, no second holds more than is allowed
-    Given <routers> routers before cold replicas that callers press
-    When requests are sent late, routers start again, are cut off, and new ones come
-    Then in no second does a replica get more than is allowed
+  Scenario Outline: No second holds more requests than allowed, whatever faults occur
+    Given <routers> routers and cold replicas under load
+    When requests are delayed, and routers restart, are partitioned and join
+    Then no replica receives more requests in any second than allowed
 
     Examples:
       | routers |
@@ -38,10 +38,10 @@
       | 68      |
       | 760     |
 
-  Scenario Outline: Whatever routers know, send and suffer, and however long machines are suspended
-    Given <routers> routers before cold replicas that callers press
-    When requests are sent late, routers start again, are cut off and suspended, and new ones come
-    Then in no second does a replica get more than is allowed
+  Scenario Outline: No second holds more requests than allowed, however long machines are suspended
+    Given <routers> routers and cold replicas under load
+    When requests are delayed, and routers restart, are partitioned, are suspended and join
+    Then no replica receives more requests in any second than allowed
 
     Examples:
       | routers |
@@ -49,41 +49,41 @@
       | 26      |
       | 68      |
 
-  Scenario: A router that does not know the fleet sends nothing to a cold replica
-    Given a router that was not told of the others
-    Then it sends nothing to a cold replica, and anything to a warm one
+  Scenario: A router that does not know the other routers sends nothing to a cold replica
+    Given a router that has not received the list of routers
+    Then it sends nothing to a cold replica, and without limit to a warm one
 
   Scenario: A router that has just started sends nothing to a cold replica
-    Given a router that was told of the others a second ago
-    Then it sends nothing to a cold replica, and anything to a warm one
+    Given a router that received the list of routers one second ago
+    Then it sends nothing to a cold replica, and without limit to a warm one
 
-  Scenario: A router that hears of no changes holds every replica to what a cold one bears
-    Given a router that hears its peers but not of changes in the store
-    When the fleet has sent a warm replica as much as a cold one bears
-    Then it sends that replica nothing more until a second has passed
+  Scenario: A router without changes from the store limits every replica to the rate of a cold one
+    Given a router that receives reports from its peers but no changes from the store
+    When all routers together have sent a warm replica as many requests as a cold one may receive
+    Then it sends that replica no more requests until a second has passed
 
-  Scenario: A router that hears nobody sends by its permits alone
-    Given a router that hears neither of changes nor its peers
-    Then it sends each replica, warm or not, no more than its permits in a second
+  Scenario: A router without any connection sends only within its own permits
+    Given a router that receives neither changes from the store nor reports from its peers
+    Then it sends each replica, cold or warm, no more requests in a second than it has permits
 
-  Scenario: A service without a bound is not held back
-    Given a router that was not told of the others
-    Then it sends anything to a cold replica of a service without a bound
+  Scenario: A service without a bound on cold replicas is not limited
+    Given a router that has not received the list of routers
+    Then it sends without limit to a cold replica of a service without a bound
 
-  Scenario: A replica says by its record that it is cold, and is cold again after an evacuation
+  Scenario: A replica is cold as its record states, and again after an evacuation
     Given a list of replicas of which one is cold for 3 s
-    Then that one is cold until 3 s have passed, whatever else in the list changes
+    Then that replica is cold until 3 s have passed, whatever else changes in the list
     And a replica whose failure domain was evacuated is cold for its service's time afterwards
 
-  Scenario: A gateway spares the replicas that come back cold, and refuses truthfully
-    Given a gateway before two engines that are cold and bear one request a second
-    When ten streams are asked for at once
-    Then no engine gets more than two in a second, and the others are refused with the time to come back
-
-  # A replica's entry may lapse while the store is away and come back under the same id. What was
-  # counted of it was dropped with the entry, and a request that was sent in between then counted as
-  # less than none: the router had one permit more for good.
-  Scenario: A replica whose entry lapses and comes back has got what it has got
-    Given a router that knows the fleet, and a cold replica of which it has permits
-    When the replica's entry lapses while a request is under way to it, and comes back
-    Then the router sends it no more than its permits in a second, then and later
+  Scenario: A gateway limits requests to cold replicas, and refuses others with a retry time
+    Given a gateway before two cold engines with a limit of one request per second
+    When ten streams are requested at once
+    Then no engine receives more than two in a second, and the others are refused with a retry time
+
+  # A replica's record may lapse while the store is unavailable and come back under the same id. The
+  # replica's counts used to be dropped with the record. A request that was acquired before and sent
+  # after that made the count negative, so the router had one permit too many from then on.
+  Scenario: A replica whose record lapses and comes back keeps its request counts
+    Given a router that knows the other routers, and a cold replica for which it has permits
+    When the replica's record lapses while a request is being sent to it, and comes back
+    Then the router never sends it more requests in a second than it has permits
--- a/features/fleet_permits.feature
+++ b/features/fleet_permits.feature
@@ -1,9 +1,9 @@
-Feature: So many requests in any window, from all routers together, of which each knows a part
+Feature: All routers together keep rate limits, each with a share of the permits
 
-  Scenario Outline: The parts of all routers come to no more than the permits
+  Scenario Outline: The shares of all routers add up to at most the permits
     Given <routers> routers that share permits
-    Then whatever each knows beyond those that run, their parts come to no more than the permits
-    And where they know each other their parts come to exactly the permits
+    Then the shares add up to at most the permits, whatever stopped routers each router counts
+    And the shares add up to exactly the permits if all routers are aware of each other
 
     Examples:
       | routers |
@@ -14,19 +14,19 @@
       | 68      |
       | 760     |
 
-  Scenario: A bound on a rate allows just that rate, in windows that suit it
-    Given any rate from 0.05 to 500 requests a second
-    Then its window holds so many permits as make up the rate, two or more
-    And no 4 s hold more than one and a half times the rate allows, and 5
+  Scenario: A bound that is derived from a rate allows exactly that rate
+    Given any rate from 0.05 to 500 requests per second
+    Then the window holds the permits of that rate, and at least two
+    And any 4 s allow at most 1.5 times the rate, plus 5 requests
 
-  # Held up before they are sent, granted by one router to another, with messages that get lost, in
-  # starts, cuts and suspensions: what routers in contact send stays within the permits, not only
-  # within what the platform allows beyond them.
-  Scenario Outline: Whatever routers know, send, grant and suffer, no window holds more than its permits
+  # Requests are delayed after they acquired a permit, permits are granted to other routers, messages
+  # get lost, and routers restart, are partitioned or suspended. Connected routers have to stay
+  # within the permits, and not only within what the platform allows in addition to them.
+  Scenario Outline: No window holds more requests than permits, whatever faults occur
     Given <routers> routers that share permits
-    When callers press, permits are granted and lost, and routers end, are cut off and suspended
-    Then in no window does a replica get more than its permits from routers in contact
-    And in no window does it get more than twice of them from all
+    When they send and grant permits while messages get lost, and routers restart, are partitioned and suspended
+    Then no replica receives more requests from connected routers in a window than it has permits
+    And no replica receives more than twice as many from all routers
 
     Examples:
       | routers |
@@ -35,27 +35,27 @@
       | 68      |
       | 760     |
 
-  Scenario: A router that has just started grants nothing
+  Scenario: A router that has just started grants no permits
     Given 4 routers that share permits
-    When the one that ranks first for a replica starts again
-    Then it has no permit of it until all have heard of it and a window has passed
+    When the router that ranks first for a replica restarts
+    Then it has no permit until all routers are aware of it and a window has passed
 
-  Scenario: What an asker does not tell of counts as used when its permit lapses
+  Scenario: A grant that is not settled counts as used when it expires
     Given 4 routers that share permits
-    When the first one has granted all its permits of a replica, and nobody tells what became of them
-    Then it has one again a window after they have lapsed, and not before
+    When the first router has granted all its permits for a replica, and none of them is settled
+    Then it has a permit again a window after they expire, and not earlier
 
-  Scenario: A permit that was not used is free at once
+  Scenario: An unused permit is available again at once
     Given 4 routers that share permits
-    When the first one has granted all its permits of a replica, and one is given back
-    Then it has one again at once, and one alone
+    When the first router has granted all its permits for a replica, and one of them is returned
+    Then exactly one permit is available at once
 
-  Scenario: A permit that is ready later is not ready before a window has passed
+  Scenario: A permit that is acquired in advance is not ready before a window has passed
     Given 4 routers that share permits
-    When the first one has used all its permits of a replica, and takes one for later
-    Then that one is ready a window after the oldest use, and the next one after the next use
+    When the first router has used all its permits for a replica, and acquires more in advance
+    Then each of these is ready a window after the next oldest use
 
-  Scenario: A bound that becomes narrower counts what was used under the wider one
+  Scenario: A bound with a longer window counts uses from the previous bound
     Given 4 routers that share permits
-    When the first one has used all its permits of a wide bound, and the bound becomes narrow
-    Then it has none until those of the narrow window have passed
+    When the first router has used all its permits of a wide bound, and the bound becomes narrow
+    Then it has no permit until the uses are older than the narrow bound's window
--- a/features/steps/fleet_permits_steps.py
+++ b/features/steps/fleet_permits_steps.py
@@ -1,4 +1,4 @@
-"""Steps on bounds that all routers keep together."""
+"""Steps for rate limits that all routers keep together."""
 
 import random
 
@@ -15,7 +15,7 @@
     even_share,
     first_weighted_share,
 )
-from permit_storm import REPLICAS, VALID_MS, PermitStorm
+from permit_simulation import REPLICAS, VALID_MS, PermitSimulation
 
 START_MS = 3_000
 RATES = (0.05, 0.2, 1.0, 1.1, 5.0, 20.0)
@@ -25,22 +25,22 @@
 
 
 @given("{routers:d} routers that share permits")
-def so_many(context, routers):
+def routers_with_permits(context, routers):
     context.names = [f"front-{number}" for number in range(routers)]
 
 
-def parts(names, subject, total, share_of_rank, known):
-    """Return the permits of all routers together; ``known`` returns what each is told."""
-    found = 0
+def sum_of_shares(names, subject, total, share_of_rank, known):
+    """Return the sum of all routers' shares; ``known`` returns each router's names and count."""
+    shared = 0
     for own in names:
         shares = RouterShares(own, ManualClock())
         shares.set_routers(*known())
-        found += shares.share(subject, total, share_of_rank)
-    return found
+        shared += shares.share(subject, total, share_of_rank)
+    return shared
 
 
-@then("whatever each knows beyond those that run, their parts come to no more than the permits")
-def parts_in_bound(context):
+@then("the shares add up to at most the permits, whatever stopped routers each router counts")
+def shares_within_permits(context):
     names = context.names
 
     @given_any(
@@ -52,32 +52,32 @@
     def check(seed, total, share_of_rank):
         source = random.Random(seed)
 
-        def drawn():
+        def draw_known():
             gone = [f"gone-{number}" for number in range(source.randrange(9))]
             return [*names, *gone], len(names) + len(gone) + source.randrange(3)
 
-        found = parts(names, source.choice(REPLICAS), total, share_of_rank, drawn)
-        assert found <= total, (found, total, share_of_rank)
+        shared = sum_of_shares(names, source.choice(REPLICAS), total, share_of_rank, draw_known)
+        assert shared <= total, (shared, total, share_of_rank)
 
     check()
 
 
-@then("where they know each other their parts come to exactly the permits")
-def parts_whole(context):
+@then("the shares add up to exactly the permits if all routers are aware of each other")
+def shares_equal_permits(context):
     names = context.names
     for share_of_rank in (even_share, first_weighted_share):
         for total in (1, 2, 5, 14, 500):
-            found = parts(names, "i-1", total, share_of_rank, lambda: (names, len(names)))
-            assert found == total, (found, total, share_of_rank)
+            shared = sum_of_shares(names, "i-1", total, share_of_rank, lambda: (names, len(names)))
+            assert shared == total, (shared, total, share_of_rank)
 
 
-@given("any rate from 0.05 to 500 requests a second")
+@given("any rate from 0.05 to 500 requests per second")
 def any_rate(context):
     context.rates = st.floats(0.05, 500)
 
 
-@then("its window holds so many permits as make up the rate, two or more")
-def window_of_rate(context):
+@then("the window holds the permits of that rate, and at least two")
+def window_holds_rate(context):
     @given_any(context.rates)
     def check(rate):
         bound = WindowBound.from_rate(rate)
@@ -88,45 +88,48 @@
     check()
 
 
-@then("no 4 s hold more than one and a half times the rate allows, and 5")
-def span_of_rate(context):
+@then("any 4 s allow at most 1.5 times the rate, plus 5 requests")
+def span_within_rate(context):
     @given_any(context.rates)
     def check(rate):
         bound = WindowBound.from_rate(rate)
-        most = bound.permits * (1 + SPAN_MS // bound.window_ms)
-        assert most <= 1.5 * rate * SPAN_MS / 1_000 + 5, (rate, most)
+        max_requests = bound.permits * (1 + SPAN_MS // bound.window_ms)
+        assert max_requests <= 1.5 * rate * SPAN_MS / 1_000 + 5, (rate, max_requests)
 
     check()
 
 
-@when("callers press, permits are granted and lost, and routers end, are cut off and suspended")
-def storms(context):
+@when(
+    "they send and grant permits while messages get lost, "
+    "and routers restart, are partitioned and suspended"
+)
+def run_simulations(context):
     routers = len(context.names)
     steps, seeds = (1_200, 4) if routers < 100 else (400, 1)
-    context.storms = [
-        PermitStorm(routers, WindowBound.from_rate(rate), seed).play(steps)
+    context.simulations = [
+        PermitSimulation(routers, WindowBound.from_rate(rate), seed).run(steps)
         for rate in RATES
         for seed in range(seeds)
     ]
 
 
-@then("in no window does a replica get more than its permits from routers in contact")
-def windows_kept(context):
-    assert all(storm.arrivals for storm in context.storms)
-    for storm in context.storms:
-        most = storm.worst(storm.bound.window_ms, in_contact=True)
-        assert most <= storm.bound.permits, (storm.bound, most)
+@then("no replica receives more requests from connected routers in a window than it has permits")
+def windows_of_connected(context):
+    assert all(simulation.arrivals for simulation in context.simulations)
+    for simulation in context.simulations:
+        most = simulation.max_in_span(simulation.bound.window_ms, connected_only=True)
+        assert most <= simulation.bound.permits, (simulation.bound, most)
 
 
-@then("in no window does it get more than twice of them from all")
+@then("no replica receives more than twice as many from all routers")
 def windows_of_all(context):
-    for storm in context.storms:
-        most = storm.worst(storm.bound.window_ms, in_contact=False)
-        assert most <= 2 * storm.bound.permits, (storm.bound, most)
+    for simulation in context.simulations:
+        most = simulation.max_in_span(simulation.bound.window_ms, connected_only=False)
+        assert most <= 2 * simulation.bound.permits, (simulation.bound, most)
 
 
-class First:
-    """The router that ranks first for a replica, which knows the fleet for long."""
+class FirstRouter:
+    """The router that ranks first for a replica, and has known the other routers long enough."""
 
     def __init__(self, names):
         self.clock = ManualClock()
@@ -134,112 +137,111 @@
         shares = RouterShares(names[0], self.clock)
         shares.set_routers(names, len(names))
         self.own = shares.top_ranked("i-1")[0]
-        self.permits = self.begin()
+        self.permits = self.start()
         self.clock.advance(START_MS + NARROW.window_ms)
 
-    def begin(self):
+    def start(self):
+        """Return the permits of a process of this router that has just started."""
         shares = RouterShares(self.own, self.clock)
         shares.set_routers(self.names, len(self.names))
         return FleetPermits(shares, self.clock, share_of_rank=first_weighted_share)
 
-    def part(self, bound=BOUND):
+    def share(self, bound=BOUND):
         return self.permits.share("i-1", bound)
 
     def use_all(self, bound=BOUND, gap_ms=0.0):
-        for _ in range(self.part(bound)):
+        for _ in range(self.share(bound)):
             self.permits.acquire("i-1", bound).settle(sent=True)
             self.clock.advance(gap_ms)
 
     def grant_all(self):
-        keys = [("asker", number) for number in range(self.part())]
+        keys = [("asker", number) for number in range(self.share())]
         for key in keys:
             assert self.permits.grant(key, "i-1", BOUND, max_wait_ms=0, valid_ms=VALID_MS)
         assert self.permits.grant(("asker", 99), "i-1", BOUND, max_wait_ms=0, valid_ms=1) is None
         return keys
 
-    def is_free(self, bound=BOUND):
+    def has_permit(self, bound=BOUND):
         return self.permits.ready_in_ms("i-1", bound) == 0
 
 
-@when("the one that ranks first for a replica starts again")
-def first_starts_again(context):
-    context.first = First(context.names)
+@when("the router that ranks first for a replica restarts")
+def first_restarts(context):
+    context.first = FirstRouter(context.names)
     context.first.use_all()
-    context.first.permits = context.first.begin()
+    context.first.permits = context.first.start()
 
 
-@then("it has no permit of it until all have heard of it and a window has passed")
-def none_at_start(context):
+@then("it has no permit until all routers are aware of it and a window has passed")
+def no_permit_at_start(context):
     first = context.first
-    assert not first.is_free()
+    assert not first.has_permit()
     first.clock.advance(START_MS + BOUND.window_ms - 1)
-    assert not first.is_free()
+    assert not first.has_permit()
     first.clock.advance(1)
-    assert first.is_free()
+    assert first.has_permit()
 
 
-@when(
-    "the first one has granted all its permits of a replica, and nobody tells what became of them"
-)
+@when("the first router has granted all its permits for a replica, and none of them is settled")
 def all_granted(context):
-    context.first = First(context.names)
+    context.first = FirstRouter(context.names)
     context.first.grant_all()
 
 
-@then("it has one again a window after they have lapsed, and not before")
-def free_after_lapse(context):
+@then("it has a permit again a window after they expire, and not earlier")
+def permit_after_expiry(context):
     first = context.first
     first.clock.advance(VALID_MS + BOUND.window_ms - 1)
-    assert not first.is_free()
+    assert not first.has_permit()
     first.clock.advance(2)
-    assert first.is_free()
+    assert first.has_permit()
 
 
-@when("the first one has granted all its permits of a replica, and one is given back")
-def one_given_back(context):
-    context.first = First(context.names)
+@when("the first router has granted all its permits for a replica, and one of them is returned")
+def one_returned(context):
+    context.first = FirstRouter(context.names)
     keys = context.first.grant_all()
     context.first.permits.settle_grant(keys[0], sent=False)
     context.first.permits.settle_grant(keys[0], sent=False)
 
 
-@then("it has one again at once, and one alone")
-def one_free(context):
-    assert context.first.is_free()
+@then("exactly one permit is available at once")
+def one_available(context):
+    assert context.first.has_permit()
     assert context.first.permits.acquire("i-1", BOUND) is not None
-    assert not context.first.is_free()
+    assert not context.first.has_permit()
 
 
-@when("the first one has used all its permits of a replica, and takes one for later")
-def one_for_later(context):
-    context.first = First(context.names)
+@when("the first router has used all its permits for a replica, and acquires more in advance")
+def acquires_in_advance(context):
+    context.first = FirstRouter(context.names)
     context.first.use_all(gap_ms=10.0)
     assert context.first.permits.acquire("i-1", BOUND) is None
-    context.begun_ms = context.first.clock.monotonic_ms() - 10.0 * context.first.part()
+    context.first_use_ms = context.first.clock.monotonic_ms() - 10.0 * context.first.share()
 
 
-@then("that one is ready a window after the oldest use, and the next one after the next use")
+@then("each of these is ready a window after the next oldest use")
 def ready_in_order(context):
     first = context.first
     for number in range(3):
         permit = first.permits.acquire("i-1", BOUND, max_wait_ms=BOUND.window_ms)
-        assert permit.ready_ms == context.begun_ms + 10.0 * number + BOUND.window_ms, number
+        assert permit.ready_ms == context.first_use_ms + 10.0 * number + BOUND.window_ms, number
 
 
-@when("the first one has used all its permits of a wide bound, and the bound becomes narrow")
+@when("the first router has used all its permits of a wide bound, and the bound becomes narrow")
 def becomes_narrow(context):
-    context.first = First(context.names)
+    context.first = FirstRouter(context.names)
     context.first.use_all()
     context.first.clock.advance(BOUND.window_ms + 1)
-    assert context.first.is_free()
+    assert context.first.has_permit()
 
 
-@then("it has none until those of the narrow window have passed")
-def none_under_narrow(context):
+@then("it has no permit until the uses are older than the narrow bound's window")
+def no_permit_under_narrow(context):
     first = context.first
     left_ms = NARROW.window_ms - BOUND.window_ms
-    assert not first.is_free(NARROW)
+    assert not first.has_permit(NARROW)
     first.clock.advance(left_ms - 2)
-    assert not first.is_free(NARROW)
+    assert not first.has_permit(NARROW)
     first.clock.advance(2)
-    assert first.is_free(NARROW)
+    assert first.has_permit(NARROW)
