--- a/features/overload.feature
+++ b/features/overload.feature
@@ -21,9 +21,9 @@
   # In need each engine takes few requests. Sent to any engine for which there was a permit, prompts
   # were read where none of their shared parts was held, several at a time, and held up each other.
   Scenario Outline: Where all engines name limits, prompts go where their shared parts are held
-    Given engines that all name a limit of <limit> requests a second
-    When the usual traffic is placed by cost, and without a preference
-    Then by cost at most <read> of 100 shared tokens are read again, and no fewer begin in time
+    Given engines that all announce a limit of <limit> requests per second
+    When the usual traffic is placed by cost, and at random
+    Then placement by cost repeats at most <read> of 100 shared tokens, and no fewer requests start in time
 
     Examples:
       | limit | read |
--- a/features/replica_limits.feature
+++ b/features/replica_limits.feature
@@ -1,81 +1,79 @@
-Feature: A replica that names a limit gets no more than that from all gateways together
-
-  # A replica in need said in all its answers that it takes 1.1 requests a second from all gateways
-  # together. Nothing read that: in the 3.7 s after its first such answer it got 15 requests from
-  # four gateways (9, 3, 2 and 1), where 12 were allowed; 3.1 a second came to it as before. In need,
-  # with little in flight, it looked quick, and got more than any other of its service:
-  #   8.66 replica=86ec answered in_flight=3 slowness=0.69 expected_ms=362 first_ms=175
-  #   9.05 replica=86ec answered in_flight=1 slowness=0.7 expected_ms=103 first_ms=77
-  # Read by each gateway for itself the limit would have held four times: no gateway knows what the
-  # others send. Four gateways as processes before such a replica sent it 209 requests in 4 s.
-  Scenario: A replica in need gets what it takes, and the others serve the rest
-    Given 4 gateways that share repeats, before four replicas of each service
-    When for 9 s one replica of each service names a limit of 1 request a second
-    Then from 3 s after its first word no replica in need gets more than its limit allows in any 4 s
+Feature: All gateways together keep the rate limit that a replica announces
+
+  # An overloaded replica announced a limit of 1.1 requests per second in all its responses, but no
+  # gateway read it: four gateways sent it 15 requests (9, 3, 2 and 1) in the next 3.7 s, where 12
+  # were allowed, and 3.1 per second as before. With few requests in flight (1 instead of 3) it seemed
+  # fast (first_ms 77 instead of 175, expected_ms 103 instead of 362, slowness 0.7), so it received
+  # more requests than any other replica. If each gateway kept the limit by itself, four of them would
+  # send four times as much. Four gateway processes sent such a replica 209 requests in 4 s.
+  Scenario: A limited replica receives what its limit allows, and the others serve the rest
+    Given 4 gateways that share retries, before four replicas of each service
+    When for 9 s one replica of each service announces a limit of 1 request per second
+    Then from 3 s after its first announcement no limited replica exceeds its limit in any 4 s
     And every retryable request was answered
 
-  # The same replica beside others that turn requests away: in need it has nothing in flight and
-  # answers at once, so that it was everybody's next choice.
-  Scenario: A replica in need is not drawn on where the others turn requests away
-    Given 4 gateways that share repeats, before four replicas of each service
-    When for 9 s one replica of each service names a limit of 1, and the others refuse 3 in 10
-    Then from 3 s after its first word no replica in need gets more than its limit allows in any 4 s
-
-  # Each gateway has less than one of the permits of a replica here, and callers come to all of them.
-  Scenario: Where all replicas are in need, what they take is served
-    Given 10 gateways that share repeats, before four replicas of each service
-    When for 14 s all replicas name a limit of 2 requests a second, and callers ask for 4 of each service
-    Then from 3 s after its first word no replica in need gets more than its limit allows in any 4 s
-    And every repeatable request of the last 8 s was answered
-
-  # What one gateway was told outlives the replica's record and the store's absence, and reaches a
-  # gateway that has just started; a limit that becomes narrower holds at once.
-  Scenario Outline: Whatever else happens, a replica in need gets no more than it takes
-    Given 4 gateways that share repeats, before four replicas of each service
-    When one replica of each service names a limit of 1 request a second, and <trouble>
-    Then from 3 s after its first word no replica in need gets more than its limit allows in any 4 s
-    And every repeatable request was answered, but for those that <trouble> cut
+  # The other replicas refuse requests. The limited replica has none in flight and responds at once,
+  # so every gateway chose it next.
+  Scenario: A limited replica does not receive the requests that the others refuse
+    Given 4 gateways that share retries, before four replicas of each service
+    When for 9 s one replica of each service announces a limit of 1, and the others refuse 3 in 10
+    Then from 3 s after its first announcement no limited replica exceeds its limit in any 4 s
+
+  # With ten gateways each one holds less than one permit of a replica, and all of them get requests.
+  Scenario: If all replicas are limited, as many requests are served as the limits allow
+    Given 10 gateways that share retries, before four replicas of each service
+    When for 14 s all replicas announce a limit of 2 requests per second, and each service gets 4 per second
+    Then from 3 s after its first announcement no limited replica exceeds its limit in any 4 s
+    And every retryable request of the last 8 s was answered
+
+  # A limit that one gateway has received outlives the replica's record and an outage of the store,
+  # and reaches a gateway that has just started. A lower limit takes effect at once.
+  Scenario Outline: A limited replica does not exceed its limit during other faults
+    Given 4 gateways that share retries, before four replicas of each service
+    When one replica of each service announces a limit of 1 request per second, and <fault>
+    Then from 3 s after its first announcement no limited replica exceeds its limit in any 4 s
+    And every retryable request was answered, except those interrupted because <fault>
 
     Examples:
-      | trouble                          |
-      | its record lapses for 0.5 s      |
-      | the store is away for 3 s        |
-      | three gateways start again       |
-      | it named 5 before                |
-
-  Scenario: A replica that names no limit any more is used as the others are
-    Given 4 gateways that share repeats, before four replicas of each service
-    When for 4 s one replica of each service names a limit of 1, and for 6 s none
-    Then in the last 2 s it gets at least a tenth of its service's requests
+      | fault                             |
+      | its record lapses for 0.5 s       |
+      | the store is unavailable for 3 s  |
+      | three gateways restart            |
+      | it announced 5 before             |
+
+  Scenario: A replica that no longer announces a limit is used like the others
+    Given 4 gateways that share retries, before four replicas of each service
+    When for 4 s one replica of each service announces a limit of 1, and for 6 s none
+    Then in the last 2 s it receives at least a tenth of its service's requests
     And every retryable request was answered
 
-  Scenario: A gateway that has just started is told of limits before it asks the replica
-    Given 4 gateways that share repeats, before four replicas of each service
-    When one replica of each service names a limit of 1 request a second, and a gateway starts again
-    Then the one that started was told of both limits by others
+  Scenario: A gateway that has just started receives the limits from other gateways
+    Given 4 gateways that share retries, before four replicas of each service
+    When one replica of each service announces a limit of 1 request per second, and a gateway restarts
+    Then the restarted gateway received both limits from others
 
-  Scenario: Where all replicas are at their limits callers are refused at once, each with a time
+  Scenario: If all replicas are at their limits, callers are refused at once with a retry time
     Given a gateway before two replicas of each service
-    When both portal replicas name a limit of 0.5, and 8 receipts are asked for at once
-    Then as many as the limit allows are served, and the others refused as at_limit and not sent
-    And each of those has another time to come back, in steps of a second
-    And a refused one that comes again at once keeps its time
-    And its story names both replicas, and its loss is that all were at their limits
+    When both portal replicas announce a limit of 0.5, and 8 receipts are requested at once
+    Then as many as the limit allows are served, and the others are refused as at_limit and not sent
+    And each refused request has a different retry time, in steps of one second
+    And a refused request that is retried at once keeps its retry time
+    And its trace lists both replicas, and its loss is that all were at their limits
 
-  Scenario: A second send for a slow answer takes no permit
+  Scenario: A hedged request for a slow response takes no permit
     Given a gateway before two replicas of each service
-    When both portal replicas name a limit of 5, and one of them says nothing for a while
-    Then a receipt at the silent one is not sent to the other one as well
+    When both portal replicas announce a limit of 5, and one of them does not respond for a while
+    Then a receipt at the unresponsive replica is not sent to the other one as well
 
-  Scenario: A replica that names a limit while a connection to it comes up gets no more than that
-    Given a gateway that has chosen a replica without a limit, whose connection comes up slowly
-    When another answer names a limit before the first byte has gone, and all its permits are used
-    Then the request is not sent there, and its permits are given back
+  Scenario: A replica that announces a limit during connection setup does not exceed it
+    Given a gateway that has chosen a replica without a limit, and is slow to connect to it
+    When another response announces a limit before the first byte is sent, and all permits are used
+    Then the request is not sent to that replica, and its permits are returned
 
-  Scenario Outline: Of what a replica names only a plain decimal number is a limit
+  Scenario Outline: Only a plain decimal number is a limit
     Given a gateway before one replica of each service
-    When the portal replica names "<value>"
-    Then the gateway takes it for <limit>
+    When the portal replica announces "<value>"
+    Then the gateway reads it as <limit>
 
     Examples:
       | value      | limit    |
@@ -97,37 +95,37 @@
       | two        | nothing  |
       | 1;2        | nothing  |
 
-  Scenario: Two headers say nothing, and what can't be read takes back nothing
+  Scenario: A repeated or unreadable header does not end a limit
     Given a gateway before two replicas of each service
-    When both portal replicas name a limit of 2, then something that can't be read, then two
-    Then the limit holds on, with one line for each replica on what can't be read
+    When both portal replicas announce a limit of 2, then an unreadable one, then two headers
+    Then the limit stays in force, with one log line per replica on the unreadable header
 
-  Scenario: An answer to an earlier request ends no limit
-    Given a replica that named a limit in an answer
-    Then an answer without one to a request that was sent before ends nothing
-    And one to a request that was sent after ends it, and the replica gets more by steps
-    And of two that cross the narrower limit holds
+  Scenario: A response to an earlier request does not end a limit
+    Given a replica that announced a limit in a response
+    Then a response without a limit to a request that was sent before does not end it
+    And one to a request that was sent after ends it, and the replica's rate is raised in steps
+    And of two responses that cross the lower limit applies
 
-  Scenario: The newest word holds at all routers, whatever is late, lost or crosses
-    Given routers that ask a replica, and tell each other what it names
-    When the replica names limits, changes them and ends them, and answers and messages are late
-    Then once it has been asked by each all know what it named last, whoever knew what before
+  Scenario: The latest limit applies at all routers, whatever messages are late, lost or reordered
+    Given routers that send requests to a replica, and report its limits to each other
+    When the replica announces, changes and ends limits, and responses and messages are late
+    Then after another request each, all routers have the latest limit, whatever they had before
 
-  Scenario: Another start of a replica has named nothing
-    Given a replica that named a limit in an answer
-    Then its limit outlives a lapse of its record, and not another start
+  Scenario: A new incarnation of a replica has no limit
+    Given a replica that announced a limit in a response
+    Then its limit outlives a lapse of its record, but not a restart
 
-  Scenario: A word that comes before the record of its replica counts once that is listed
+  Scenario: A limit that is reported before its replica is listed applies once it is listed
     Given a router that has not read the list of replicas
-    When it is told of a limit, of a later one and of the earlier one again, and then reads the list
-    Then the later limit holds, for the start that it was told of alone
-
-  Scenario: A router that does not answer is not asked for a second, and the next one is
-    Given a router that looks for the holders of a replica's permits
-    When the first of them does not answer
-    Then the next one is asked, and after a second the first one again
-
-  Scenario: A permit that comes too late goes back
-    Given a router that asks another one for a permit
-    When the answer comes after the wait for it
-    Then the permit is given back, and the request has none
+    When it receives a limit, a later one and the earlier one again, and then reads the list
+    Then the later limit applies, and only to the incarnation for which it was reported
+
+  Scenario: A router that does not reply is not asked for one second, and the next one is
+    Given a router that selects the holders of a replica's permits
+    When the first of them does not reply
+    Then the next one is asked, and after one second the first one again
+
+  Scenario: A permit that arrives too late is returned
+    Given a router that requests a permit from another one
+    When the reply arrives after the timeout
+    Then the permit is returned, and the request has none
