--- a/features/steps/limited_choice_steps.py
+++ b/features/steps/limited_choice_steps.py
@@ -74,7 +74,7 @@
     """The usual traffic while all engines announce a limit, placed by the gateway's own code."""
 
     def __init__(self, limit, seed, *, by_cost):
-        super().__init__(LoadPattern("in need"), "twice those behind", seed)
+        super().__init__(LoadPattern("rate limited"), "twice those behind", seed)
         self.limit = limit
         # The clock reaches 0, the start of the simulation, after the routers have settled.
         self.clock = ManualClock(start_ms=-SETTLED_MS)
