--- a/features/steps/claims_steps.py
+++ b/features/steps/claims_steps.py
@@ -10,9 +10,9 @@
     ClaimOwner,
     ClaimTenure,
     KeyTimes,
-    birth_time_ms,
+    acquire_tenure,
     claim_key,
-    take_tenure,
+    creation_time_ms,
 )
 from aspengate.errors import AspengateError, ErrorKind
 from aspengate.transport import ClaimTicket, SeenClaim, UsageRecord
@@ -34,7 +34,7 @@
 
 def decide(context, born_ms, digest="digest", request_id="one", agent="A"):
     key = key_born(born_ms)
-    assert birth_time_ms(key.partition("/")[2]) == born_ms
+    assert creation_time_ms(key.partition("/")[2]) == born_ms
     decision = context.owner.decide(key, digest, born_ms, request_id, agent, NOW)
     context.decisions = [*getattr(context, "decisions", []), decision]
     return decision
@@ -135,7 +135,7 @@
             now += wait
             before = tenure
             try:
-                tenure = take_tenure(
+                tenure = acquire_tenure(
                     tenure,
                     str(number),
                     session=session,
--- a/src/aspengate/claims/_keys.py
+++ b/src/aspengate/claims/_keys.py
@@ -29,7 +29,7 @@
         return self.future_tolerance_ms + 2 * self.clock_error_ms
 
 
-def birth_time_ms(key: str) -> int:
+def creation_time_ms(key: str) -> int:
     """Return when a key was made, in milliseconds; raises BAD_REQUEST for other keys."""
     try:
         parsed = uuid.UUID(key)
--- a/src/aspengate/claims/_owner.py
+++ b/src/aspengate/claims/_owner.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from aspengate.claims._keys import KeyTimes, birth_time_ms
+from aspengate.claims._keys import KeyTimes, creation_time_ms
 from aspengate.errors import ErrorKind
 from aspengate.transport import ClaimTicket, SeenClaim
 
@@ -102,4 +102,4 @@
 
 def _seen_birth(seen: SeenClaim) -> int:
     """Return when the key of a claim told by an agent was made, in milliseconds."""
-    return birth_time_ms(seen.key.rpartition("/")[2])
+    return creation_time_ms(seen.key.rpartition("/")[2])
--- a/src/aspengate/claims/_tenure.py
+++ b/src/aspengate/claims/_tenure.py
@@ -25,7 +25,7 @@
         return operation_id in self.operations
 
 
-def take_tenure(
+def acquire_tenure(
     tenure: ClaimTenure,
     operation_id: str,
     *,
--- a/src/aspengate/router/_claims.py
+++ b/src/aspengate/router/_claims.py
@@ -10,9 +10,9 @@
     ClaimOwner,
     ClaimTenure,
     KeyTimes,
-    birth_time_ms,
+    acquire_tenure,
     claim_shard,
-    take_tenure,
+    creation_time_ms,
 )
 from aspengate.clock import Clock
 from aspengate.errors import AspengateError, ErrorKind
@@ -75,7 +75,7 @@
         Return a ticket, or the agent that already has the call. Raises AspengateError of kind
         BAD_REQUEST, CLAIM_UNAVAILABLE or OUTCOME_UNKNOWN.
         """
-        born_ms = birth_time_ms(key.rpartition("/")[2])
+        born_ms = creation_time_ms(key.rpartition("/")[2])
         shard = claim_shard(key, self.shard_count)
         address = self._owner_address(shard)
 
@@ -177,7 +177,7 @@
         def transition(tenure: ClaimTenure) -> ClaimTenure:
             nonlocal predecessor
             predecessor = "" if tenure.owner == self.session else tenure.owner
-            return take_tenure(
+            return acquire_tenure(
                 tenure,
                 operation_id,
                 session=self.session,
