--- a/features/steps/claims_steps.py
+++ b/features/steps/claims_steps.py
@@ -23,36 +23,36 @@
 LEASE = 600_000
 
 
-def key_born(time_ms):
+def key_created(time_ms):
     value = (time_ms << 80) | (7 << 76) | (2 << 62) | 12345
     return claim_key("account", str(uuid6.UUID(int=value)))
 
 
-def owner(started_ms, inherited=()):
+def make_owner(started_ms, inherited=()):
     return ClaimOwner(0, "owner", started_ms, NOW + LEASE, TIMES, inherited)
 
 
-def decide(context, born_ms, digest="digest", request_id="one", agent="A"):
-    key = key_born(born_ms)
-    assert creation_time_ms(key.partition("/")[2]) == born_ms
-    decision = context.owner.decide(key, digest, born_ms, request_id, agent, NOW)
+def decide(context, created_ms, digest="digest", request_id="one", agent="A"):
+    key = key_created(created_ms)
+    assert creation_time_ms(key.partition("/")[2]) == created_ms
+    decision = context.owner.decide(key, digest, created_ms, request_id, agent, NOW)
     context.decisions = [*getattr(context, "decisions", []), decision]
     return decision
 
 
 @given("the first owner of a claim shard")
 def first_owner(context):
-    context.owner = owner(None)
+    context.owner = make_owner(None)
 
 
-@given("an owner that took the shard over")
+@given("a new owner of the shard")
 def new_owner(context):
-    context.owner = owner(NOW - 10_000)
+    context.owner = make_owner(NOW - 10_000)
 
 
-@given("an owner that took the shard over with a claim that agent A had started")
+@given("a new owner of the shard with a claim that agent A reported")
 def inheriting_owner(context):
-    context.owner = owner(NOW - 10_000, [SeenClaim(key_born(NOW - 20_000), 0, "one", "A")])
+    context.owner = make_owner(NOW - 10_000, [SeenClaim(key_created(NOW - 20_000), 0, "one", "A")])
 
 
 @when("a key is claimed for agent A and then again through another router")
@@ -62,68 +62,68 @@
 
 
 @then("the first claim is granted and the second one joins agent A")
-def joined(context):
+def second_claim_joined(context):
     first, second = context.decisions
     assert first.ticket is not None and first.ticket.owner == "owner"
     assert second.ticket is None and second.joined_agent == "A"
 
 
-@when("a key is claimed for agent A and then for another body")
-def other_body(context):
+@when("a key is claimed for agent A and then for a different body")
+def claim_for_different_body(context):
     decide(context, NOW - 100)
     decide(context, NOW - 100, digest="other", request_id="two")
 
 
 @then("the second claim is refused as {kind}")
 @then("the claim is refused as {kind}")
-def refused(context, kind):
+def claim_refused(context, kind):
     assert context.decisions[-1].refusal is ErrorKind(kind)
 
 
-@when("a key born before the takeover is claimed")
-def born_before(context):
+@when("a key created before the takeover is claimed")
+def claim_key_created_before_takeover(context):
     decide(context, NOW - 20_000)
 
 
 @when("that claim is made again")
-def claim_again(context):
+def repeat_claim(context):
     decide(context, NOW - 20_000, request_id="two", agent="B")
 
 
 @then("it joins agent A")
-def joins(context):
+def claim_joined(context):
     assert context.decisions[-1].joined_agent == "A"
 
 
-@when("a key born after the guard is claimed")
-def born_after(context):
+@when("a key created after the guard period is claimed")
+def claim_key_created_after_guard(context):
     decide(context, NOW - 10_000 + TIMES.guard_ms + 1)
 
 
 @then("the claim is granted")
-def granted(context):
+def claim_granted(context):
     assert context.decisions[-1].ticket is not None
 
 
-@when("a key born {seconds:d} s from now is claimed")
-def future(context, seconds):
+@when("a key created {seconds:d} s in the future is claimed")
+def claim_key_from_future(context, seconds):
     decide(context, NOW + seconds * 1_000)
 
 
-@when("a key is claimed, released as not run, and claimed again")
-def release(context):
+@when("a key is claimed, released because the call did not run, and claimed again")
+def claim_release_claim(context):
     decide(context, NOW - 100)
-    context.owner.release(key_born(NOW - 100), "one")
+    context.owner.release(key_created(NOW - 100), "one")
     decide(context, NOW - 100, request_id="two")
 
 
 @then("both claims are granted")
-def both(context):
+def both_granted(context):
     assert all(decision.ticket is not None for decision in context.decisions)
 
 
-@when("any owners try to take a shard at any time")
-def any_owners(context):
+@when("any sessions try to acquire a shard at any time")
+def acquire_at_any_time(context):
     attempts = st.lists(
         st.tuples(st.sampled_from("abc"), st.integers(0, 5_000), st.sets(st.sampled_from("abc")))
     )
@@ -157,16 +157,16 @@
     context.check = check
 
 
-@then("a tenure is taken only after the one before has lapsed or is fenced")
-def tenures(context):
+@then("a shard changes its owner only after the previous tenure has expired or is fenced")
+def tenures_do_not_overlap(context):
     context.check()
 
 
-@when("an agent gets a ticket after its time, and one of a fenced owner")
-def late_ticket(context):
+@when("an agent receives an expired ticket and a ticket of a fenced owner")
+def expired_and_fenced_tickets(context):
     gate = DispatchGate()
-    late = make_dispatch(claim=ClaimTicket("k", 0, "owner", 50))
-    context.refusals = [gate.check(late, 100, 0)]
+    expired = make_dispatch(claim=ClaimTicket("k", 0, "owner", 50))
+    context.refusals = [gate.check(expired, 100, 0)]
     gate.fence("owner")
     fresh = make_dispatch(claim=ClaimTicket("k", 0, "owner", 10_000))
     context.refusals.append(gate.check(fresh, 100, 0))
@@ -178,8 +178,8 @@
     assert [refusal.kind for refusal in context.refusals] == [ErrorKind.FENCED] * 2
 
 
-@when("an agent gets two dispatches with the same key")
-def same_key(context):
+@when("an agent receives two dispatches with the same key")
+def two_dispatches_of_one_key(context):
     store = AnswerStore()
     context.opened = [
         store.open(
@@ -190,34 +190,34 @@
     ]
 
 
-@then("it opens one answer")
-def one_answer(context):
+@then("it opens one response")
+def one_response_opened(context):
     assert context.opened == [True, False]
 
 
-@given("an agent's records with room for {capacity:d}")
-def room_for(context, capacity):
+@given("an agent's record store with a capacity of {capacity:d}")
+def record_store(context, capacity):
     context.records = RecordStore(capacity)
 
 
-def usage(block, sequence):
+def usage_record(block, sequence):
     return UsageRecord("id", block, sequence, "s", "r", "b", "a", "s", 0, 0, 1, 0)
 
 
-@when("{count:d} records of {blocks:d} blocks come, one of them twice, and 2 blocks are settled")
-def records_come(context, count, blocks):
+@when("{count:d} records of {blocks:d} blocks arrive, one of them twice, and 2 blocks are settled")
+def records_arrive(context, count, blocks):
     for number in range(count):
-        context.records.finish(usage(f"block-{number % blocks}", number))
-    context.records.finish(usage("block-0", 0))
+        context.records.finish(usage_record(f"block-{number % blocks}", number))
+    context.records.finish(usage_record("block-0", 0))
     assert len(context.records) == count
     context.records.forget(("block-1", "block-2", "block-unknown"))
 
 
-@then("{left:d} records are left, and {more:d} more of one block push out the oldest block")
-def left(context, left, more):
-    assert len(context.records) == left
+@then("{remaining:d} records remain, and {more:d} more of one block evict the oldest block")
+def records_remain(context, remaining, more):
+    assert len(context.records) == remaining
     for number in range(more):
-        context.records.finish(usage("new", number))
+        context.records.finish(usage_record("new", number))
     assert context.records.dropped == 2 + 2
     found, _ = context.records.of_session("s")
     assert {record.block_id for record in found} == {"new"}
--- a/src/aspengate/claims/__init__.py
+++ b/src/aspengate/claims/__init__.py
@@ -1,4 +1,8 @@
-"""At most once: who may start a request that must not be repeated."""
+"""At-most-once execution of requests that carry an idempotency key.
+
+The keys are divided into shards. The owner of a shard grants each key to one request and refers
+later requests with the same key to the agent that runs the first one.
+"""
 
 from aspengate.claims._keys import KeyTimes, claim_key, claim_shard, creation_time_ms
 from aspengate.claims._owner import ClaimDecision, ClaimOwner
--- a/src/aspengate/claims/_owner.py
+++ b/src/aspengate/claims/_owner.py
@@ -1,4 +1,4 @@
-"""The owner of a claim shard: it gives each key once."""
+"""The owner of a claim shard, which grants each key to one request."""
 
 from collections import OrderedDict
 from collections.abc import Iterable
@@ -11,7 +11,11 @@
 
 @dataclass(frozen=True)
 class ClaimDecision:
-    """What an owner answers: a ticket, the agent that has the answer, or an error kind."""
+    """Holds an owner's decision on a claim; exactly one field is set.
+
+    ``ticket`` grants the claim; ``joined_agent`` is the agent that already has the request and
+    its response; ``refusal`` is the kind of error.
+    """
 
     ticket: ClaimTicket | None = None
     joined_agent: str = ""
@@ -23,15 +27,16 @@
     digest: str
     request_id: str
     agent: str
-    born_ms: int
+    created_ms: int
 
 
 class ClaimOwner:
-    """One session's tenure over a claim shard.
+    """Decides on the claims of one shard during one session's tenure.
 
-    It remembers what it granted. Of keys that were born before its tenure it knows only what
-    agents have told it, so an unknown one is answered ``outcome_unknown`` and never granted.
-    ``started_ms`` is ``None`` for the first tenure ever of a shard, which nobody preceded.
+    An owner records the claims that it grants. Of the claims that earlier owners granted it has
+    only those that agents reported (``inherited``), so an unknown key that may be older than the
+    tenure is refused as ``outcome_unknown`` and never granted. ``started_ms`` is ``None`` for the
+    first tenure of a shard, which has no predecessor. Not thread-safe: callers hold a lock.
     """
 
     def __init__(
@@ -50,56 +55,65 @@
         self.times = times
         self._claims: OrderedDict[str, _Claim] = OrderedDict()
         for seen in inherited:
-            self._claims[seen.key] = _Claim("", seen.request_id, seen.agent, _seen_birth(seen))
+            self._claims[seen.key] = _Claim(
+                "", seen.request_id, seen.agent, _seen_creation_ms(seen)
+            )
 
     def __len__(self) -> int:
         return len(self._claims)
 
     def decide(
-        self, key: str, digest: str, born_ms: int, request_id: str, agent: str, now_ms: int
+        self, key: str, digest: str, created_ms: int, request_id: str, agent: str, now_ms: int
     ) -> ClaimDecision:
-        """Decide on a request to start the call under ``key`` at ``agent``."""
+        """Decide whether ``request_id`` may start its call under ``key`` at ``agent``.
+
+        Refuses with CLAIM_UNAVAILABLE if the tenure has ended or ends within the clock error.
+        """
         if now_ms > self.valid_until_ms - self.times.clock_error_ms:
             return ClaimDecision(refusal=ErrorKind.CLAIM_UNAVAILABLE)
-        if born_ms > now_ms + self.times.future_tolerance_ms:
+        if created_ms > now_ms + self.times.future_tolerance_ms:
             return ClaimDecision(refusal=ErrorKind.BAD_REQUEST)
-        self._forget(now_ms)
+        self._discard_expired(now_ms)
         known = self._claims.get(key)
         if known is not None:
-            return _joined(known, digest)
-        if self._may_have_run(born_ms, now_ms):
+            return _join_claim(known, digest)
+        if self._may_have_been_granted(created_ms, now_ms):
             return ClaimDecision(refusal=ErrorKind.OUTCOME_UNKNOWN)
-        self._claims[key] = _Claim(digest, request_id, agent, born_ms)
+        self._claims[key] = _Claim(digest, request_id, agent, created_ms)
         return ClaimDecision(ticket=ClaimTicket(key, self.shard, self.session, self.valid_until_ms))
 
     def release(self, key: str, request_id: str) -> None:
-        """Free a key whose request was truly refused by the agent."""
+        """Release a key whose request the agent refused without running it.
+
+        Does nothing if another request holds the key.
+        """
         known = self._claims.get(key)
         if known is not None and known.request_id == request_id:
             del self._claims[key]
 
-    def _may_have_run(self, born_ms: int, now_ms: int) -> bool:
-        if born_ms < now_ms - self.times.max_age_ms:
+    def _may_have_been_granted(self, created_ms: int, now_ms: int) -> bool:
+        if created_ms < now_ms - self.times.max_age_ms:
             return True
         if self.started_ms is None:
             return False
-        return born_ms <= self.started_ms + self.times.guard_ms
+        return created_ms <= self.started_ms + self.times.guard_ms
 
-    def _forget(self, now_ms: int) -> None:
+    def _discard_expired(self, now_ms: int) -> None:
+        # These keys are past max_age_ms, so they are refused even after their claim is gone.
         oldest = now_ms - self.times.max_age_ms - self.times.future_tolerance_ms
         while self._claims:
             key, claim = next(iter(self._claims.items()))
-            if claim.born_ms >= oldest:
+            if claim.created_ms >= oldest:
                 return
             del self._claims[key]
 
 
-def _joined(known: _Claim, digest: str) -> ClaimDecision:
+def _join_claim(known: _Claim, digest: str) -> ClaimDecision:
     if known.digest and known.digest != digest:
         return ClaimDecision(refusal=ErrorKind.BAD_REQUEST)
     return ClaimDecision(joined_agent=known.agent)
 
 
-def _seen_birth(seen: SeenClaim) -> int:
-    """Return when the key of a claim told by an agent was made, in milliseconds."""
+def _seen_creation_ms(seen: SeenClaim) -> int:
+    """Return the creation time of the key of a claim that an agent reported, in ms."""
     return creation_time_ms(seen.key.rpartition("/")[2])
