--- a/src/aspengate/transport/__init__.py
+++ b/src/aspengate/transport/__init__.py
@@ -1,4 +1,4 @@
-"""Messages between the system's own processes, and the sockets that carry them."""
+"""Messages between routers and agents, and the authenticated sockets that carry them."""
 
 from aspengate.transport._messages import (
     BlockClosed,
--- a/src/aspengate/transport/_messages.py
+++ b/src/aspengate/transport/_messages.py
@@ -1,4 +1,4 @@
-"""The typed messages that routers and agents exchange, in MessagePack."""
+"""The typed messages that routers and agents exchange, encoded as MessagePack."""
 
 import msgspec
 
@@ -6,21 +6,26 @@
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """The base of every message; ``array_like`` keeps field names off the wire."""
+    """The base class of every message.
+
+    A message is encoded as an array of its class name and its field values; ``array_like``
+    keeps the field names off the wire.
+    """
 
 
 class Header(msgspec.Struct, frozen=True, array_like=True):
-    """One HTTP header line."""
+    """Holds one HTTP header field."""
 
     name: str
     value: str
 
 
 class ClaimTicket(msgspec.Struct, frozen=True, array_like=True):
-    """The right to start one keyed request, given once by the owner of its claim shard.
+    """Grants the right to start one request that carries an idempotency key.
 
-    An agent honours it until ``valid_until_ms`` by its own clock, and not at all once the
-    session of its ``owner`` is fenced. ``key`` begins with the client account.
+    The owner of the key's claim shard issues one ticket per key. An agent accepts it until
+    ``valid_until_ms`` by the agent's clock, unless the session of its ``owner`` is fenced.
+    ``key`` begins with the client account.
     """
 
     key: str
@@ -30,7 +35,7 @@
 
 
 class SeenClaim(msgspec.Struct, frozen=True, array_like=True):
-    """A claimed request that an agent has started, told to the next owner of its shard."""
+    """Reports a claimed request that an agent has started to the next owner of its shard."""
 
     key: str
     shard: int
@@ -39,10 +44,11 @@
 
 
 class Dispatch(Message, frozen=True):
-    """A request sent from a router to the agent that is to run it.
+    """Sends a request from a router to the agent that runs it.
 
-    ``block_id``, ``sequence`` and ``upper_bound`` say whose money it spends;
-    ``honour_until_ms`` is the last instant, by the agent's clock, at which it may start.
+    The request spends at most ``upper_bound`` credits of the block ``block_id``, in which
+    ``sequence`` identifies it. ``honour_until_ms`` is the latest time, by the agent's clock, at
+    which it may start.
     """
 
     stream: int
@@ -70,14 +76,14 @@
 
 
 class Cancel(Message, frozen=True):
-    """The caller of a stream went away; the agent may stop the run."""
+    """Reports that the caller of a stream has disconnected; the agent may stop the run."""
 
     stream: int
     router_session: str
 
 
 class Join(Message, frozen=True):
-    """Asks the agent to send the answer kept under a claim key, from its first byte."""
+    """Asks the agent to send the response stored under a claim key, from its first byte."""
 
     stream: int
     router_session: str
@@ -86,7 +92,7 @@
 
 
 class Started(Message, frozen=True):
-    """The upstream has answered with a status; the body follows in chunks."""
+    """Carries the status and headers of the upstream's response; the body follows in chunks."""
 
     stream: int
     router_session: str
@@ -95,7 +101,7 @@
 
 
 class Chunk(msgspec.Struct, frozen=True, array_like=True):
-    """A piece of one stream's body that starts at byte ``position``."""
+    """Holds the part of one stream's body that starts at byte ``position``."""
 
     stream: int
     position: int
@@ -103,14 +109,18 @@
 
 
 class Chunks(Message, frozen=True):
-    """Pieces of many streams, batched into one message."""
+    """Carries chunks of many streams, batched into one message."""
 
     router_session: str
     chunks: tuple[Chunk, ...]
 
 
 class LoadReport(msgspec.Struct, frozen=True, array_like=True):
-    """What an agent says of its upstream: requests running and waiting, and when (ms)."""
+    """Holds the load of an agent's upstream at ``reported_ms``.
+
+    ``running`` and ``waiting`` are numbers of requests. A sender that is ``leaving`` accepts no
+    new requests.
+    """
 
     running: int = 0
     waiting: int = 0
@@ -120,9 +130,10 @@
 
 
 class UsageRecord(msgspec.Struct, frozen=True, array_like=True):
-    """What one request cost, in credits; kept by the agent until its block is settled.
+    """Holds the cost of one request in credits.
 
-    ``block_id`` and ``sequence`` identify it: a record is counted once in its block.
+    The agent keeps the record until its block is settled. ``block_id`` and ``sequence`` identify
+    a record, so that it is counted only once in its block.
     """
 
     request_id: str
@@ -140,7 +151,7 @@
 
 
 class Done(Message, frozen=True):
-    """The stream is complete: ``length`` bytes of body were sent."""
+    """Reports that the stream is complete and that ``length`` bytes of its body were sent."""
 
     stream: int
     router_session: str
@@ -151,7 +162,7 @@
 
 
 class Refused(Message, frozen=True):
-    """The agent did not run the request and will not."""
+    """Reports that the agent has not run the request and will not run it."""
 
     stream: int
     router_session: str
@@ -161,9 +172,10 @@
 
 
 class DrawRequest(Message, frozen=True):
-    """A router asks its region's steward for a block of ``needed`` credits or more.
+    """Asks the steward of the router's region for a block of at least ``needed`` credits.
 
-    One that is ``ahead`` of demand does not make the steward ask others for money.
+    A request that is sent ``ahead`` of demand does not make the steward recall credits from
+    others.
     """
 
     call: int
@@ -176,9 +188,9 @@
 
 
 class DrawReply(Message, frozen=True):
-    """A block of money, or why there is none.
+    """Grants a block of ``amount`` credits, or refuses it.
 
-    ``amount`` is 0 where ``refusal`` names an error kind.
+    If ``refusal`` names an error kind, ``amount`` is 0.
     """
 
     call: int
@@ -192,7 +204,7 @@
 
 
 class BlockClosed(Message, frozen=True):
-    """A router's final account of one block; it is repeated until acknowledged.
+    """Reports a router's final spending of one block; it is resent until acknowledged.
 
     ``bills`` maps ``client_account|service`` to credits; their sum is the block's spending.
     """
@@ -207,7 +219,7 @@
 
 
 class BlockTrimmed(Message, frozen=True):
-    """A router promises to spend at most ``amount`` credits of a block that it keeps open."""
+    """Commits the router to spend at most ``amount`` credits of a block that it keeps open."""
 
     block_id: str
     holder: str
@@ -216,20 +228,23 @@
 
 
 class BlocksSettled(Message, frozen=True):
-    """These blocks are accounted for in the store; their records may be forgotten."""
+    """Reports blocks whose spending is in the store; their usage records may be deleted."""
 
     block_ids: tuple[str, ...]
 
 
 class Recall(Message, frozen=True):
-    """A steward in need asks another to return what it can spare of a budget."""
+    """Asks a steward or router to return the credits of a budget that it can spare.
+
+    ``needed`` is the amount of the draw that the sending steward can't cover, or 0 if it closes.
+    """
 
     budget: str
     needed: int
 
 
 class Fence(Message, frozen=True):
-    """No agent may start work any more under money held or drawn by ``session``."""
+    """Forbids agents to start any more work paid from credits that ``session`` holds or drew."""
 
     call: int
     reply_to: str
@@ -237,7 +252,7 @@
 
 
 class RunningRequest(msgspec.Struct, frozen=True, array_like=True):
-    """A request that is still running under a fenced session, with its upper bound."""
+    """Holds a request that is still running under a fenced session, and its upper bound."""
 
     block_id: str
     sequence: int
@@ -247,7 +262,7 @@
 
 
 class FenceAck(Message, frozen=True):
-    """A process's promise, with what it knows of the fenced session's spending."""
+    """Confirms a fence, with the sender's records of the fenced session's spending and claims."""
 
     call: int
     sender: str
@@ -259,9 +274,10 @@
 
 
 class ClaimRequest(Message, frozen=True):
-    """Asks the owner of a claim shard for the right to start one keyed request.
+    """Asks the owner of a claim shard for the right to start the request of one key.
 
-    ``digest`` is of the request's content, so that a key can't be used for another one.
+    ``digest`` is a hash of the request's content; it prevents the use of a key for a different
+    request. ``born_ms`` is the creation time of the key.
     """
 
     call: int
@@ -275,7 +291,7 @@
 
 
 class ClaimReply(Message, frozen=True):
-    """The owner's decision: ``granted``, ``joined``, or an error kind."""
+    """Carries the owner's ``decision``: ``granted``, ``joined``, or an error kind."""
 
     call: int
     decision: str
@@ -284,7 +300,7 @@
 
 
 class ReleaseClaim(Message, frozen=True):
-    """The agent truly refused the claimed request, so its key is free again."""
+    """Reports that the claimed request did not start, so its key can be granted again."""
 
     shard: int
     key: str
@@ -292,7 +308,7 @@
 
 
 class Heartbeat(Message, frozen=True):
-    """An agent's or router's sign of life to a peer, with the table version in force."""
+    """Reports that an agent or router is alive, with the table version that it applies."""
 
     sender: str
     reply_to: str
@@ -328,14 +344,14 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """Return the wire form of a message."""
+    """Return the MessagePack encoding of a message."""
     return _ENCODER.encode(message)
 
 
 def decode_message(data: bytes) -> Message:
-    """Return the message that ``data`` holds.
+    """Return the message that ``data`` encodes.
 
-    Raises AspengateError of kind BAD_REQUEST where it holds none.
+    Raises AspengateError of kind BAD_REQUEST if ``data`` is not a valid message.
     """
     try:
         return _DECODER.decode(data)
--- a/src/aspengate/transport/_seal.py
+++ b/src/aspengate/transport/_seal.py
@@ -1,4 +1,4 @@
-"""Authentication of messages between our processes by a shared secret."""
+"""Authentication of messages between the processes of the fleet by a shared secret."""
 
 import hashlib
 import hmac
@@ -9,11 +9,11 @@
 
 
 class Sealer:
-    """Adds and checks the tag that proves that a message comes from one of our processes.
+    """Adds and verifies the authentication tag of messages between processes of the fleet.
 
-    Messages are sealed with the first secret and accepted under any of them, so that a secret
-    is rotated without a stop: first add the new one last everywhere, then move it to the front,
-    then drop the old one.
+    Messages are sealed with the first secret and accepted with any of them, so a secret can be
+    rotated without downtime: append the new secret on every process, then move it to the front
+    on every process, then remove the old one.
     """
 
     def __init__(self, secrets: tuple[str, ...]) -> None:
@@ -22,19 +22,21 @@
         self._keys = [hashlib.sha256(secret.encode()).digest() for secret in secrets]
 
     def seal(self, payload: bytes) -> bytes:
-        """Return ``payload`` behind its tag."""
+        """Return ``payload`` with its tag in front."""
         return _tag(self._keys[0], payload) + payload
 
     def open(self, sealed: bytes) -> bytes:
         """Return the payload of a sealed message.
 
-        Raises AspengateError of kind UNAUTHENTICATED where no secret matches the tag.
+        Raises AspengateError of kind UNAUTHENTICATED if the tag matches none of the secrets.
         """
         tag, payload = sealed[:_TAG_BYTES], sealed[_TAG_BYTES:]
         for key in self._keys:
             if hmac.compare_digest(tag, _tag(key, payload)):
                 return payload
-        raise AspengateError(ErrorKind.UNAUTHENTICATED, "wrong secret", where="peer message")
+        raise AspengateError(
+            ErrorKind.UNAUTHENTICATED, "the tag matches none of the secrets", where="peer message"
+        )
 
 
 def _tag(key: bytes, payload: bytes) -> bytes:
