--- a/src/aspengate/claims/__init__.py
+++ b/src/aspengate/claims/__init__.py
@@ -1,16 +1,20 @@
-"""At most once: who may start a request that must not be repeated."""
+"""At-most-once execution of requests that carry an idempotency key.
 
-from aspengate.claims._keys import KeyTimes, birth_time_ms, claim_key, claim_shard
+The keys are divided into shards. The owner of a shard grants each key to one request and refers
+later requests with the same key to the agent that runs the first one.
+"""
+
+from aspengate.claims._keys import KeyTimes, claim_key, claim_shard, creation_time_ms
 from aspengate.claims._owner import ClaimDecision, ClaimOwner
-from aspengate.claims._tenure import ClaimTenure, take_tenure
+from aspengate.claims._tenure import ClaimTenure, acquire_tenure
 
 __all__ = [
     "ClaimDecision",
     "ClaimOwner",
     "ClaimTenure",
     "KeyTimes",
-    "birth_time_ms",
+    "acquire_tenure",
     "claim_key",
     "claim_shard",
-    "take_tenure",
+    "creation_time_ms",
 ]
