--- a/features/steps/framing_steps.py
+++ b/features/steps/framing_steps.py
@@ -12,10 +12,10 @@
 from waitress.adjustments import Adjustments
 
 from aspengate.clock import SystemClock
-from aspengate.connections import ReplicaAnswer, ReplicaConnection, RequestHead, Waiter
+from aspengate.connections import ReplicaConnection, ReplicaResponse, RequestHead, Waiter
 from aspengate.errors import AspengateError
 from aspengate.gateway._events import EventSplitter
-from aspengate.platform import PlatformSpelling
+from aspengate.platform import PlatformHeaderCodec
 from aspengate.serving._request_parser import StrictRequestParser
 
 ADJUSTMENTS = Adjustments(max_request_header_size=16_384, max_request_body_size=65_536)
@@ -118,7 +118,7 @@
 
 @then("a strict reader there finds the same method, path, body and id, and one request")
 def same_at_the_replica(context):
-    spelling = PlatformSpelling()
+    spelling = PlatformHeaderCodec()
 
     @settings(max_examples=300)
     @given_any(REQUEST, st.lists(ODD_LINES, max_size=5, unique=True))
@@ -171,7 +171,7 @@
     """Return the bytes that a connection sends."""
     connection = ReplicaConnection.__new__(ReplicaConnection)
     connection.requests = 0
-    connection.early = False
+    connection.responded_early = False
     connection.address = "nowhere"
     connection.socket = _Recorder()
     connection._protocol = h11.Connection(h11.CLIENT)
@@ -222,7 +222,7 @@
         return
     assert len(requests) == 1, requests
     try:
-        PlatformSpelling().parse_request(requests[0])
+        PlatformHeaderCodec().parse_request(requests[0])
     except AspengateError as failure:
         assert failure.answer.status == 400, failure
     else:
@@ -261,16 +261,16 @@
         other.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
     other.close()
     try:
-        answer = ReplicaAnswer.await_head(
+        answer = ReplicaResponse.await_head(
             connection,
             waiter,
-            lambda headers: PlatformSpelling().matches_request(headers, "0a"),
+            lambda headers: PlatformHeaderCodec().matches_request(headers, "0a"),
         )
         body = b""
         while part := answer.next_data(waiter):
             body += part
-        usable = connection.make_ready() and connection.is_quiet()
-        return answer.framed, body, usable
+        usable = connection.prepare_next_request() and connection.is_idle()
+        return answer.is_framed, body, usable
     except AspengateError:
         return None, None, False
     finally:
--- a/features/steps/replica_statements_steps.py
+++ b/features/steps/replica_statements_steps.py
@@ -11,7 +11,7 @@
 from platform_standins.fleet import eventually
 
 from aspengate.clock import ManualClock
-from aspengate.connections import ReplicaAnswer
+from aspengate.connections import ReplicaResponse
 from aspengate.explanation import read_lines, tell_story
 from aspengate.gateway._attempt import Attempt, AttemptDependencies, RetryableAttemptError
 from aspengate.replicas import Availability, Replica, ReplicaNotice, ReplicaRegistry
@@ -159,7 +159,7 @@
 @given('a response with "{value}" in Retry-After')
 def response_with_retry_after(context, value):
     headers = [("Retry-After", value), ("Content-Length", "0")]
-    context.answer = ReplicaAnswer(None, h11.Response(status_code=503, headers=headers))
+    context.answer = ReplicaResponse(None, h11.Response(status_code=503, headers=headers))
 
 
 @then("the backoff that it asks for is {ms:d} ms")
@@ -299,7 +299,7 @@
         self.closed = 0
         self.sent = []
 
-    def take(self, start):
+    def acquire(self, start):
         return None
 
     def open(self, address, timeout_ms):
@@ -362,7 +362,7 @@
 
 
 class _Route:
-    longest_gap_ms = 0.0
+    max_gap_ms = 0.0
     priority = 1
 
 
--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -70,7 +70,7 @@
 
     def wait():
         try:
-            waiter.readable(ours)
+            waiter.wait_readable(ours)
         except AspengateError as error:
             context.ended.append(error.kind)
 
--- a/src/aspengate/configuration/_holder.py
+++ b/src/aspengate/configuration/_holder.py
@@ -20,7 +20,7 @@
         self._listeners: list[Callable[[FleetConfiguration], None]] = []
 
     @property
-    def known(self) -> bool:
+    def is_configured(self) -> bool:
         """Whether any version is in force."""
         return self._current is not None
 
@@ -40,7 +40,7 @@
         """Call ``listener`` with each configuration that comes into force."""
         self._listeners.append(listener)
 
-    def offer(self, configuration: FleetConfiguration) -> bool:
+    def apply_if_newer(self, configuration: FleetConfiguration) -> bool:
         """Put a configuration into force if its version is higher; return whether it was.
 
         The one in force, written once more, is as of its new revision from then on.
--- a/src/aspengate/configuration/_model.py
+++ b/src/aspengate/configuration/_model.py
@@ -43,10 +43,10 @@
     max_attempts: int = 1
     public: bool = False
     resumable: bool = False
-    longest_gap_ms: float = 0.0
+    max_gap_ms: float = 0.0
 
     @property
-    def repeatable(self) -> bool:
+    def is_retryable(self) -> bool:
         """Whether a request of this route may run more than once."""
         return self.kind is RouteKind.IDEMPOTENT or (
             self.kind is RouteKind.STREAMING and self.resumable
--- a/src/aspengate/connections/__init__.py
+++ b/src/aspengate/connections/__init__.py
@@ -1,27 +1,27 @@
 """HTTP connections to replicas, whose every answer is bound to its request."""
 
-from aspengate.connections._answer import ReplicaAnswer
 from aspengate.connections._connection import (
-    BrokenAnswerError,
+    BrokenResponseError,
     ReplicaConnection,
     RequestHead,
     refuses_connections,
 )
-from aspengate.connections._decimal import decimal_number
+from aspengate.connections._dead_peer import TCP_USER_TIMEOUT_MS, detect_dead_peer
+from aspengate.connections._decimal import parse_decimal
 from aspengate.connections._pool import ConnectionPool
-from aspengate.connections._silence import UNACKNOWLEDGED_MS, detect_silence
+from aspengate.connections._response import ReplicaResponse
 from aspengate.connections._waiter import CallerGoneError, Waiter
 
 __all__ = [
-    "UNACKNOWLEDGED_MS",
-    "BrokenAnswerError",
+    "TCP_USER_TIMEOUT_MS",
+    "BrokenResponseError",
     "CallerGoneError",
     "ConnectionPool",
-    "ReplicaAnswer",
     "ReplicaConnection",
+    "ReplicaResponse",
     "RequestHead",
     "Waiter",
-    "decimal_number",
-    "detect_silence",
+    "detect_dead_peer",
+    "parse_decimal",
     "refuses_connections",
 ]
--- a/src/aspengate/connections/_connection.py
+++ b/src/aspengate/connections/_connection.py
@@ -7,7 +7,7 @@
 import h11
 
 from aspengate.clock import Clock
-from aspengate.connections._silence import detect_silence
+from aspengate.connections._dead_peer import detect_dead_peer
 from aspengate.connections._waiter import Waiter
 from aspengate.errors import AspengateError, ErrorKind
 
@@ -24,7 +24,7 @@
     headers: tuple[tuple[str, str], ...]
 
 
-class BrokenAnswerError(AspengateError):
+class BrokenResponseError(AspengateError):
     """The connection ended before the answer did, or brought what is no answer."""
 
     def __init__(self, cause: object, where: str) -> None:
@@ -56,21 +56,21 @@
     def __init__(self, address: str, clock: Clock, timeout_ms: float) -> None:
         self.address = address
         self.clock = clock
-        self.used_ms = clock.monotonic_ms()
+        self.last_used_ms = clock.monotonic_ms()
         self.idle_until_ms = float("inf")
         self.requests = 0
-        self.early = False
+        self.responded_early = False
         self._protocol = h11.Connection(h11.CLIENT)
         host, _, port = address.rpartition(":")
         try:
             self.socket = socket.create_connection((host, int(port)), timeout_ms / 1_000)
         except OSError as error:
             raise AspengateError(ErrorKind.NO_UPSTREAM, repr(error), where=address) from error
-        detect_silence(self.socket)
+        detect_dead_peer(self.socket)
         self.socket.setblocking(False)
 
     @property
-    def kept(self) -> bool:
+    def is_reused(self) -> bool:
         """Whether an earlier request used this connection."""
         return self.requests > 1
 
@@ -87,16 +87,16 @@
             try:
                 sent += self.socket.send(view[sent : sent + _SEND_BYTES])
             except BlockingIOError:
-                can_write, can_read = waiter.writable_or_readable(self.socket)
+                can_write, can_read = waiter.wait_writable_or_readable(self.socket)
                 if can_read and not can_write:
-                    self.early = True
+                    self.responded_early = True
                     return
             except OSError as error:
                 if not sent:
                     raise AspengateError(
                         ErrorKind.NO_UPSTREAM, repr(error), where=self.address
                     ) from error
-                self.early = True
+                self.responded_early = True
                 return
 
     def receive(self, waiter: Waiter, until_ms: float | None = None) -> h11.Event | None:
@@ -113,32 +113,32 @@
                 continue
             if event is not h11.NEED_DATA:
                 return self._checked(event)
-            if not waiter.readable(self.socket, until_ms):
+            if not waiter.wait_readable(self.socket, until_ms):
                 return None
             self._read()
 
-    def rearm(self) -> None:
+    def expect_next_response(self) -> None:
         """Expect one more answer, after one that belonged to an earlier request."""
         surplus, ended = self._protocol.trailing_data
         if ended:
-            raise BrokenAnswerError("closed", self.address)
+            raise BrokenResponseError("closed", self.address)
         self._protocol = h11.Connection(h11.CLIENT)
         self._protocol.send(h11.Request(method="GET", target="/", headers=[("Host", "-")]))
         self._protocol.send(h11.EndOfMessage())
         if surplus:
             self._protocol.receive_data(surplus)
 
-    def make_ready(self) -> bool:
+    def prepare_next_request(self) -> bool:
         """Prepare for another request; return False where the connection can't take one."""
         states = self._protocol.states
         done = states == {h11.CLIENT: h11.DONE, h11.SERVER: h11.DONE}
-        if self.early or not done or self._protocol.trailing_data[0]:
+        if self.responded_early or not done or self._protocol.trailing_data[0]:
             return False
         self._protocol.start_next_cycle()
-        self.used_ms = self.clock.monotonic_ms()
+        self.last_used_ms = self.clock.monotonic_ms()
         return True
 
-    def is_quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Return whether nothing has come on this idle connection, neither bytes nor an end."""
         try:
             self.socket.recv(1, socket.MSG_PEEK)
@@ -181,4 +181,4 @@
         raise self._failed(event)
 
     def _failed(self, cause: object) -> AspengateError:
-        return BrokenAnswerError(repr(cause), self.address)
+        return BrokenResponseError(repr(cause), self.address)
--- a/src/aspengate/connections/_decimal.py
+++ b/src/aspengate/connections/_decimal.py
@@ -10,7 +10,7 @@
 _MOST_TOLD = 100
 
 
-def decimal_number(text: str, where: str) -> float:
+def parse_decimal(text: str, where: str) -> float:
     """Return a plain decimal number; raises BAD_REQUEST for anything else.
 
     ``where`` names the header that it stands in.
--- a/src/aspengate/connections/_answer.py
+++ b/src/aspengate/connections/_response.py
@@ -19,7 +19,7 @@
 BelongsTo = Callable[[tuple[tuple[str, str], ...]], bool]
 
 
-class ReplicaAnswer:
+class ReplicaResponse:
     """An answer whose head has come; read its body with ``next_data`` until that is empty.
 
     ``framed`` tells whether the answer says itself where it ends, other than by closing.
@@ -33,8 +33,8 @@
             (name.decode("latin-1"), value.decode("latin-1")) for name, value in head.headers
         )
         names = {name for name, _ in head.headers}
-        self.framed = bool(names & {_LENGTH, _CODING})
-        self.whole = False
+        self.is_framed = bool(names & {_LENGTH, _CODING})
+        self.is_complete = False
 
     @classmethod
     def await_head(
@@ -43,7 +43,7 @@
         waiter: Waiter,
         belongs: BelongsTo,
         until_ms: float | None = None,
-    ) -> "ReplicaAnswer | None":
+    ) -> "ReplicaResponse | None":
         """Wait for the answer that ``belongs`` to the request; None where ``until_ms`` is first.
 
         Answers to earlier requests that come in its place are read and dropped. Raises
@@ -58,11 +58,11 @@
             answer = cls(connection, event)
             if belongs(answer.headers):
                 return answer
-            if not connection.kept or not answer.framed:
+            if not connection.is_reused or not answer.is_framed:
                 break
             while answer.next_data(waiter):
                 pass
-            connection.rearm()
+            connection.expect_next_response()
         raise AspengateError(
             ErrorKind.UPSTREAM_FAILED, "another request's answer", where=connection.address
         )
@@ -73,7 +73,7 @@
         return next((value for key, value in self.headers if key.lower() == lowered), "")
 
     @property
-    def rest_ms(self) -> float | None:
+    def keep_alive_ms(self) -> float | None:
         """How long the connection may rest after this answer, where the answer tells."""
         found = _REST_PATTERN.search(self.header("keep-alive"))
         return float(found.group(1)) * 1_000 if found else None
@@ -97,7 +97,7 @@
             return None
         if isinstance(event, h11.Data):
             return bytes(event.data)
-        self.whole = True
+        self.is_complete = True
         return b""
 
 
--- a/src/aspengate/connections/_waiter.py
+++ b/src/aspengate/connections/_waiter.py
@@ -38,14 +38,14 @@
         """How long is left, in milliseconds; negative once the deadline has passed."""
         return self.deadline_ms - self.clock.monotonic_ms()
 
-    def readable(self, waited: socket.socket, until_ms: float | None = None) -> bool:
+    def wait_readable(self, waited: socket.socket, until_ms: float | None = None) -> bool:
         """Wait until a socket can be read; return False where ``until_ms`` comes first.
 
         Raises CallerGoneError, or AspengateError of kind DEADLINE_EXCEEDED.
         """
         return bool(self._wait(waited, select.POLLIN, until_ms))
 
-    def writable_or_readable(self, waited: socket.socket) -> tuple[bool, bool]:
+    def wait_writable_or_readable(self, waited: socket.socket) -> tuple[bool, bool]:
         """Wait until a socket can be written or read; return which of the two it can be."""
         flags = self._wait(waited, select.POLLIN | select.POLLOUT, None)
         return bool(flags & select.POLLOUT), bool(flags & ~select.POLLOUT)
--- a/src/aspengate/gateway/_application.py
+++ b/src/aspengate/gateway/_application.py
@@ -135,7 +135,7 @@
 
     def _send_error(self, error: AspengateError) -> None:
         if self.caller.started:
-            self.caller.cut()
+            self.caller.abort()
             return
         self.progress.status = error.answer.status
         body = msgspec.json.encode({"error": error.body(self.request_id)})
@@ -145,7 +145,7 @@
         ]
         if error.retry_after_s is not None:
             headers.append(("Retry-After", f"{math.ceil(error.retry_after_s * 10) / 10:g}"))
-        self.caller.answer(error.answer.status, error.kind.value, headers, body)
+        self.caller.respond(error.answer.status, error.kind.value, headers, body)
 
 
 def _event_tokens(exchange: Exchange) -> int:
--- a/src/aspengate/gateway/_attempt.py
+++ b/src/aspengate/gateway/_attempt.py
@@ -4,10 +4,10 @@
 
 from aspengate.clock import Clock
 from aspengate.connections import (
-    UNACKNOWLEDGED_MS,
+    TCP_USER_TIMEOUT_MS,
     ConnectionPool,
-    ReplicaAnswer,
     ReplicaConnection,
+    ReplicaResponse,
     RequestHead,
 )
 from aspengate.errors import AspengateError, ErrorKind
@@ -97,10 +97,10 @@
         self.ended_ms: float | None = None
         self.connection: ReplicaConnection | None = None
         self._in_flight = self.view.in_flight
-        gap_aim_ms = exchange.known_route.longest_gap_ms
+        gap_aim_ms = exchange.known_route.max_gap_ms
         self._work = self.view.begin(self.started_ms, candidate.tokens, gap_aim_ms)
 
-    def send(self, last_event_id: str) -> ReplicaAnswer:
+    def send(self, last_event_id: str) -> ReplicaResponse:
         """Send the request and return the response once its head has arrived.
 
         Raises RetryableAttemptError if the replica is not reached, no longer accepts requests, or
@@ -143,13 +143,13 @@
         """Record the arrival of a stream event."""
         self.view.record_event(self._work, now_ms)
 
-    def release(self, answer: ReplicaAnswer) -> None:
+    def release(self, answer: ReplicaResponse) -> None:
         """Return the connection to the pool after a complete response.
 
         If the replica is shutting down, it is not returned, and ``end`` closes it.
         """
         if self.connection is not None and not self.view.reported.is_leaving:
-            self.dependencies.pool.give_back(self.incarnation, self.connection, answer.rest_ms)
+            self.dependencies.pool.release(self.incarnation, self.connection, answer.keep_alive_ms)
             self.connection = None
 
     def end(self, outcome: str, *, failed: bool) -> None:
@@ -178,11 +178,11 @@
         """The latest time at which the replica may receive the request, in monotonic milliseconds.
 
         Without a response, the operating system may retransmit unacknowledged data for
-        ``UNACKNOWLEDGED_MS`` after the connection is closed.
+        ``TCP_USER_TIMEOUT_MS`` after the connection is closed.
         """
         if self.first_response_ms is not None:
             return self.started_ms + self.first_response_ms
-        return self._ended_or_now_ms + UNACKNOWLEDGED_MS
+        return self._ended_or_now_ms + TCP_USER_TIMEOUT_MS
 
     @property
     def _ended_or_now_ms(self) -> float:
@@ -211,11 +211,11 @@
             "outcome": self.outcome,
         }
 
-    def _await_head(self, connection: ReplicaConnection) -> ReplicaAnswer:
+    def _await_head(self, connection: ReplicaConnection) -> ReplicaResponse:
         request_id = self.exchange.request.request_id
         header_codec = self.dependencies.header_codec
         while True:
-            answer = ReplicaAnswer.await_head(
+            answer = ReplicaResponse.await_head(
                 connection,
                 self.exchange.waiter,
                 lambda headers: header_codec.matches_request(headers, request_id),
@@ -248,7 +248,7 @@
 
     def _connect(self) -> ReplicaConnection:
         self.exchange.waiter.check_caller()
-        connection = self.dependencies.pool.take(self.incarnation)
+        connection = self.dependencies.pool.acquire(self.incarnation)
         self.reused = connection is not None
         if connection is None:
             connection = self._open()
--- a/src/aspengate/gateway/_attempt_timeouts.py
+++ b/src/aspengate/gateway/_attempt_timeouts.py
@@ -47,8 +47,8 @@
         self._clock = clock
         self._may_retry = may_retry
         self._started_ms = clock.monotonic_ms()
-        self._checks = _make_checks(route, candidate) if route.repeatable else []
-        self._gap_ms = max(_MIN_GAP_MS, _GAP_FACTOR * route.longest_gap_ms)
+        self._checks = _make_checks(route, candidate) if route.is_retryable else []
+        self._gap_ms = max(_MIN_GAP_MS, _GAP_FACTOR * route.max_gap_ms)
         self._limits_gaps = route.resumable
 
     @property
--- a/src/aspengate/gateway/_daemon.py
+++ b/src/aspengate/gateway/_daemon.py
@@ -108,7 +108,7 @@
             clock,
             counters,
             broadcast=lambda notice: self.peering.crashes.announce(notice),
-            on_ended=lambda run: self.pool.forget(replica_of_run(run)),
+            on_ended=lambda run: self.pool.discard(replica_of_run(run)),
             reaches_store=lambda: self.peering.reaches_store,
             is_first=lambda content: self.peering.members.is_first(content),
             rewrites_lost=self._rewrites_lost,
@@ -264,7 +264,7 @@
 
     def _is_ready(self) -> bool:
         is_listed = bool(self.mirrors.replicas.state.revision)
-        return self.holder.known and is_listed and not self.leaving
+        return self.holder.is_configured and is_listed and not self.leaving
 
     def _sleep_until(self, until_ms: float) -> None:
         self.clock.sleep_ms(until_ms - self.clock.monotonic_ms())
@@ -361,7 +361,7 @@
             self.application,
             self.settings.listen,
             threads=self.settings.threads,
-            most_connections=(self.settings.descriptors - _RESERVED_DESCRIPTORS) // 2,
+            max_connections=(self.settings.descriptors - _RESERVED_DESCRIPTORS) // 2,
             max_header_bytes=limits.max_header_bytes,
             max_body_bytes=limits.max_body_bytes,
         )
@@ -415,7 +415,7 @@
         return Contact.PEERS if self.peering.members.has_live_leader else Contact.NONE
 
     def _on_replica_gone(self, view: ReplicaView) -> None:
-        self.pool.forget(view.incarnation)
+        self.pool.discard(view.incarnation)
         self.parts.forget(view.identity)
         self.bounds.forget(view.identity)
 
--- a/src/aspengate/gateway/_dispatcher.py
+++ b/src/aspengate/gateway/_dispatcher.py
@@ -2,7 +2,7 @@
 
 from http import HTTPStatus
 
-from aspengate.connections import BrokenAnswerError, ReplicaAnswer
+from aspengate.connections import BrokenResponseError, ReplicaResponse
 from aspengate.errors import AspengateError, ErrorKind
 from aspengate.fleet_permits import Permit
 from aspengate.gateway._attempt import Attempt, AttemptDependencies, RetryableAttemptError
@@ -94,7 +94,7 @@
         self, attempt: Attempt, error: AspengateError, exchange: Exchange, progress: Progress
     ) -> None:
         """Report to the crash guard if the failure suggests that the replica has terminated."""
-        if attempt.sent and isinstance(error, BrokenAnswerError):
+        if attempt.sent and isinstance(error, BrokenResponseError):
             address = attempt.view.replica.address
             self.crashes.record_lost(
                 exchange.fingerprint, attempt.replica_run, address, progress.crash_trial
@@ -174,14 +174,14 @@
             raise AspengateError(
                 ErrorKind.UPSTREAM_FAILED, f"replica responded {answer.status} to a resumed stream"
             )
-        failed = answer.status in _SERVER_ERROR and exchange.known_route.repeatable
+        failed = answer.status in _SERVER_ERROR and exchange.known_route.is_retryable
         if failed and self._acquire_retry(exchange, progress, attempts=progress.sent_attempts):
             cause = AspengateError(ErrorKind.UPSTREAM_FAILED, f"answered {answer.status}")
             raise RetryableAttemptError(cause, sent=True, retry_acquired=True)
         self.relay.relay_buffered(attempt, answer, caller)
         progress.status = answer.status
 
-    def _record_notice(self, attempt: Attempt, answer: ReplicaAnswer) -> None:
+    def _record_notice(self, attempt: Attempt, answer: ReplicaResponse) -> None:
         """Record what the response states about its replica: shutdown, backoff, rate limit.
 
         A 421 response and an unsigned success are ignored: the former comes from another process
@@ -204,9 +204,9 @@
             self.registry.record_notice(attempt.view, attempt.notice, attempt.sent_ms)
         if attempt.notice.leaving:
             # The replica closes its connections: a request sent on one of them then would be lost.
-            self.dependencies.pool.forget(attempt.incarnation)
+            self.dependencies.pool.discard(attempt.incarnation)
 
-    def _read_rate_limit(self, answer: ReplicaAnswer) -> tuple[float | None, str]:
+    def _read_rate_limit(self, answer: ReplicaResponse) -> tuple[float | None, str]:
         """Return the rate limit in a response, or None and the text that can't be parsed."""
         try:
             return self.dependencies.header_codec.rate_limit(answer.headers), ""
@@ -225,11 +225,11 @@
         progress.sent_attempts -= 1
         self.counters.count("gateway.misdirected")
 
-    def _send(self, attempt: Attempt, exchange: Exchange, progress: Progress) -> ReplicaAnswer:
+    def _send(self, attempt: Attempt, exchange: Exchange, progress: Progress) -> ReplicaResponse:
         try:
             return attempt.send(progress.last_event_id)
         except AspengateError as error:
-            if error.kind is ErrorKind.UPSTREAM_FAILED and exchange.known_route.repeatable:
+            if error.kind is ErrorKind.UPSTREAM_FAILED and exchange.known_route.is_retryable:
                 raise RetryableAttemptError(error, sent=True) from error
             raise
         finally:
@@ -298,5 +298,5 @@
         return True
 
 
-def _is_event_stream(answer: ReplicaAnswer) -> bool:
+def _is_event_stream(answer: ReplicaResponse) -> bool:
     return answer.header("content-type").startswith("text/event-stream")
--- a/src/aspengate/gateway/_relay.py
+++ b/src/aspengate/gateway/_relay.py
@@ -1,6 +1,6 @@
 """Relays a replica's response to the caller."""
 
-from aspengate.connections import BrokenAnswerError, ReplicaAnswer
+from aspengate.connections import BrokenResponseError, ReplicaResponse
 from aspengate.errors import AspengateError, ErrorKind
 from aspengate.gateway._attempt import Attempt, RetryableAttemptError
 from aspengate.gateway._events import EventSplitter, StreamEvent
@@ -20,7 +20,7 @@
         self.counters = counters
 
     def relay_buffered(
-        self, attempt: Attempt, answer: ReplicaAnswer, caller: CallerConnection
+        self, attempt: Attempt, answer: ReplicaResponse, caller: CallerConnection
     ) -> None:
         """Read a response to its end before sending it, so that a broken one is never started.
 
@@ -44,12 +44,12 @@
             caller.finish()
             return
         headers = self.header_codec.response_headers(answer.headers)
-        caller.answer(answer.status, answer.reason, headers, body)
+        caller.respond(answer.status, answer.reason, headers, body)
 
     def relay_stream(
         self,
         attempt: Attempt,
-        answer: ReplicaAnswer,
+        answer: ReplicaResponse,
         caller: CallerConnection,
         progress: Progress,
     ) -> None:
@@ -62,9 +62,9 @@
                 for event in splitter.feed(data):
                     self._relay_event(event, attempt, answer, caller, progress)
             if splitter.remainder:
-                raise BrokenAnswerError("ends within an event", answer.connection.address)
-            if not answer.framed:
-                raise BrokenAnswerError("a stream without framing", answer.connection.address)
+                raise BrokenResponseError("ends within an event", answer.connection.address)
+            if not answer.is_framed:
+                raise BrokenResponseError("a stream without framing", answer.connection.address)
         except AspengateError as error:
             resumable = not caller.started or attempt.exchange.known_route.resumable
             raise _broken_error(attempt, error, resumable=resumable) from error
@@ -73,7 +73,7 @@
         caller.finish()
         progress.is_complete = True
 
-    def _next_data(self, attempt: Attempt, answer: ReplicaAnswer) -> bytes:
+    def _next_data(self, attempt: Attempt, answer: ReplicaResponse) -> bytes:
         """Return more stream data; raises RetryableAttemptError if the replica is unresponsive."""
         while True:
             until_ms = attempt.timeouts.gap_deadline_ms()
@@ -88,7 +88,7 @@
         self,
         event: StreamEvent,
         attempt: Attempt,
-        answer: ReplicaAnswer,
+        answer: ReplicaResponse,
         caller: CallerConnection,
         progress: Progress,
     ) -> None:
@@ -101,7 +101,7 @@
         attempt.record_event(now_ms)
         progress.record_event(event.event_id, now_ms)
 
-    def _start(self, answer: ReplicaAnswer, caller: CallerConnection) -> None:
+    def _start(self, answer: ReplicaResponse, caller: CallerConnection) -> None:
         """Send the response head once; a resumed stream keeps the head of its first replica."""
         if not caller.started:
             headers = self.header_codec.response_headers(answer.headers)
@@ -111,7 +111,7 @@
 def _broken_error(attempt: Attempt, error: AspengateError, *, resumable: bool) -> Exception:
     """Return the exception to raise for a response that broke off."""
     is_lost = error.kind is ErrorKind.UPSTREAM_FAILED
-    if is_lost and resumable and attempt.exchange.known_route.repeatable:
+    if is_lost and resumable and attempt.exchange.known_route.is_retryable:
         return RetryableAttemptError(error, sent=True)
     return error
 
--- a/src/aspengate/gateway/_request_log.py
+++ b/src/aspengate/gateway/_request_log.py
@@ -86,7 +86,7 @@
         "tokens": exchange.request.tokens.max_total if exchange.request.tokens else 0,
         "settled": progress.settled_tokens,
         "aim_ms": exchange.route.objective_ms if exchange.route else 0,
-        "gap_aim_ms": exchange.route.longest_gap_ms if exchange.route else 0,
+        "gap_aim_ms": exchange.route.max_gap_ms if exchange.route else 0,
         "version": exchange.configuration.version,
         "time_ms": round(exchange.waiter.deadline_ms - received_ms),
         "events": progress.events,
--- a/src/aspengate/gateway/_selection.py
+++ b/src/aspengate/gateway/_selection.py
@@ -134,7 +134,7 @@
 def _prompt_shape_of(exchange: Exchange) -> PromptShape:
     """Return the shape of the request's prompt; its last segment is not shared with others."""
     request = exchange.request
-    gap_aim_ms = exchange.known_route.longest_gap_ms
+    gap_aim_ms = exchange.known_route.max_gap_ms
     if not request.prompt_segments:
         own_tokens = request.tokens.prompt if request.tokens else 0
         return PromptShape((), own_tokens, gap_aim_ms)
--- a/src/aspengate/gateway/_store_reader.py
+++ b/src/aspengate/gateway/_store_reader.py
@@ -51,7 +51,7 @@
 
     def limit_of(self, account: str) -> LimitSource | None:
         """Return an account's prepaid limit; None if it has none or no configuration is loaded."""
-        if not self._holder.known:
+        if not self._holder.is_configured:
             return None
         configuration = self._holder.current
         found = configuration.accounts_by_name.get(account)
@@ -64,6 +64,6 @@
             return
         self._configuration_read = item.revision
         try:
-            self._holder.offer(self._deployment.read_configuration(item))
+            self._holder.apply_if_newer(self._deployment.read_configuration(item))
         except AspengateError as error:
             self._unreadable.report("configuration", item, error)
--- a/src/aspengate/platform/__init__.py
+++ b/src/aspengate/platform/__init__.py
@@ -2,12 +2,12 @@
 
 from aspengate.platform._client import PlatformStore
 from aspengate.platform._deployment import PlatformDeployment
-from aspengate.platform._headers import PlatformSpelling
+from aspengate.platform._headers import PlatformHeaderCodec
 from aspengate.platform._records import read_configuration, read_replica
 
 __all__ = [
     "PlatformDeployment",
-    "PlatformSpelling",
+    "PlatformHeaderCodec",
     "PlatformStore",
     "read_configuration",
     "read_replica",
--- a/src/aspengate/platform/_deployment.py
+++ b/src/aspengate/platform/_deployment.py
@@ -3,7 +3,7 @@
 from aspengate.clock import Clock
 from aspengate.configuration import FleetConfiguration
 from aspengate.platform._client import PlatformStore
-from aspengate.platform._headers import PlatformSpelling
+from aspengate.platform._headers import PlatformHeaderCodec
 from aspengate.platform._records import (
     CONFIGURATION_KEY,
     OPERATOR_PREFIX,
@@ -26,7 +26,7 @@
 
     def __init__(self, address: str, timeout_ms: float, clock: Clock) -> None:
         self.store: KeyValueStore = PlatformStore(address, timeout_ms, clock)
-        self.header_codec = PlatformSpelling()
+        self.header_codec = PlatformHeaderCodec()
 
     def read_configuration(self, item: StoreItem) -> FleetConfiguration:
         """Return the configuration that a store item holds; raises BAD_REQUEST."""
--- a/src/aspengate/platform/_headers.py
+++ b/src/aspengate/platform/_headers.py
@@ -3,7 +3,7 @@
 import re
 from collections.abc import Iterable
 
-from aspengate.connections import decimal_number
+from aspengate.connections import parse_decimal
 from aspengate.errors import AspengateError, ErrorKind
 from aspengate.gateway import CallerRequest, PromptSegment, TokenBounds
 from aspengate.serving import ReceivedRequest
@@ -55,7 +55,7 @@
 _TARGET_PATTERN = re.compile(r"/[\x21-\x7e]*")
 
 
-class PlatformSpelling:
+class PlatformHeaderCodec:
     """Reads and writes the headers of the platform's requests and answers."""
 
     def parse_request(self, received: ReceivedRequest) -> CallerRequest:
@@ -142,7 +142,7 @@
         """Return how many requests a second an answer's replica takes; raises BAD_REQUEST."""
         if not _all(headers, _LIMIT):
             return None
-        return decimal_number(_single(headers, _LIMIT), _LIMIT)
+        return parse_decimal(_single(headers, _LIMIT), _LIMIT)
 
     def error_headers(self, request_id: str) -> Headers:
         """Return headers for an answer of the router's own."""
--- a/src/aspengate/platform/_records.py
+++ b/src/aspengate/platform/_records.py
@@ -196,7 +196,7 @@
         max_attempts=max(1, record.max_attempts),
         public=record.public,
         resumable=record.resumable,
-        longest_gap_ms=record.gap_aim_ms,
+        max_gap_ms=record.gap_aim_ms,
     )
 
 
--- a/src/aspengate/serving/_relay_server.py
+++ b/src/aspengate/serving/_relay_server.py
@@ -82,7 +82,7 @@
         listen: str,
         *,
         threads: int,
-        most_connections: int,
+        max_connections: int,
         max_header_bytes: int,
         max_body_bytes: int,
     ) -> None:
@@ -91,14 +91,14 @@
         self.leaving = False
         self.idle_timeout_ms = 15_000.0
         self.header_timeout_ms = 3_000.0
-        self.most_connections = most_connections
+        self.max_connections = max_connections
         self._checked_ms = 0.0
         self._closing = threading.Event()
         adjustments = Adjustments(
             listen=listen,
             backlog=_BACKLOG,
             send_bytes=1,
-            connection_limit=most_connections * 2,
+            connection_limit=max_connections * 2,
             asyncore_loop_timeout=_LOOP_SECONDS,
             asyncore_use_poll=True,
             max_request_header_size=max_header_bytes,
@@ -160,7 +160,7 @@
 
     def _close_stale(self, now: float) -> None:
         channels = list(self.active_channels.values())
-        spare = len(channels) - self.most_connections
+        spare = len(channels) - self.max_connections
         if spare > 0:
             idle = sorted((each for each in channels if each.is_idle), key=_used)
             for channel in idle[:spare]:
--- a/src/aspengate/serving/_relay_task.py
+++ b/src/aspengate/serving/_relay_task.py
@@ -53,7 +53,7 @@
         found: socket.socket | None = self._channel.socket
         return found
 
-    def answer(self, status: int, reason: str, headers: Headers, body: bytes) -> None:
+    def respond(self, status: int, reason: str, headers: Headers, body: bytes) -> None:
         """Send a whole answer."""
         lines = _header_lines(headers)
         if status not in _BODILESS:
@@ -86,7 +86,7 @@
             self._send(b"0\r\n\r\n")
         self.ended = True
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """End the connection such that a started answer does not look whole."""
         self.closing = True
         self.ended = True
@@ -121,9 +121,9 @@
         try:
             self.channel.server.handler(connection)
         except CallerGoneError:
-            connection.cut()
+            connection.abort()
         if not connection.ended:
-            connection.cut()
+            connection.abort()
         self.wrote_header = connection.started
         self.close_on_finish = connection.closing
 
--- a/src/aspengate/store/_connections.py
+++ b/src/aspengate/store/_connections.py
@@ -5,7 +5,7 @@
 import socket
 import threading
 
-from aspengate.connections import detect_silence
+from aspengate.connections import detect_dead_peer
 from aspengate.errors import AspengateError, ErrorKind
 from aspengate.store._unanswered import UnansweredCallCounter
 
@@ -84,7 +84,7 @@
         connection = http.client.HTTPConnection(self.address, timeout=_CONNECT_TIMEOUT_S)
         try:
             connection.connect()
-            detect_silence(connection.sock)
+            detect_dead_peer(connection.sock)
         except OSError as error:
             connection.close()
             self._record_unanswered()
