--- a/features/platform_standins/__init__.py
+++ b/features/platform_standins/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins of the users' platform, which speak its bytes and fail as it may."""
+"""Test doubles of the users' platform, which speak its protocols and inject its faults."""
 
 from platform_standins.client import Answer, Caller
 from platform_standins.fleet import Fleet
--- a/features/platform_standins/builds.py
+++ b/features/platform_standins/builds.py
@@ -1,4 +1,4 @@
-"""Earlier builds of the program, from the repository's own history."""
+"""Provides earlier builds of the program, from the history of the repository."""
 
 import io
 import os
@@ -9,28 +9,28 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-# The build that landed before the one that is worked on.
+# The last build that was merged before the current one.
 LAST_LANDED = "f615bed"
 
 
 @cache
 def earlier_build(commit):
-    """Return a folder with the program as of a commit; None where the history does not hold it.
+    """Return a folder with the program as of a commit; None if the history lacks the commit.
 
-    The folder stays as long as this process.
+    The folder exists until this process ends.
     """
     command = ["git", "archive", "--format=tar", commit, "src", "deploy"]
-    # A hook or another tool may have set where git looks.
+    # A git hook or another tool may have set GIT_DIR and the like.
     environment = {key: value for key, value in os.environ.items() if not key.startswith("GIT_")}
     try:
-        made = subprocess.run(
+        archived = subprocess.run(
             command, cwd=ROOT, env=environment, check=True, capture_output=True
         ).stdout
     except (OSError, subprocess.CalledProcessError):
         return None
     folder = tempfile.TemporaryDirectory(prefix="build-")
     _folders.append(folder)
-    with tarfile.open(fileobj=io.BytesIO(made)) as archive:
+    with tarfile.open(fileobj=io.BytesIO(archived)) as archive:
         archive.extractall(folder.name, filter="data")
     return Path(folder.name)
 
@@ -39,7 +39,7 @@
 
 
 def skip_without(scenario, commit):
-    """Return an earlier build, or say that a scenario is left out for want of the history."""
+    """Return an earlier build; if the history lacks it, skip the scenario and print why."""
     build = earlier_build(commit)
     if build is None:
         print(f"left out, the history does not hold {commit}: {scenario.name}")
--- a/features/platform_standins/client.py
+++ b/features/platform_standins/client.py
@@ -1,4 +1,4 @@
-"""A caller that writes its own bytes and reads answers to their last one."""
+"""A client that controls the bytes of its requests and reads responses completely."""
 
 import itertools
 import socket
@@ -11,7 +11,7 @@
 
 
 class Answer:
-    """What came back: ``whole`` tells whether the answer says of itself that it is complete."""
+    """A response; ``whole`` tells whether it is complete by its own framing."""
 
     def __init__(self, status, headers, body, whole, seconds):
         self.status = status
@@ -31,7 +31,7 @@
 
 
 class Caller:
-    """One connection to a router."""
+    """A connection to a router."""
 
     def __init__(self, address, timeout_s=20.0):
         host, _, port = address.rpartition(":")
@@ -39,7 +39,7 @@
         self.reader = self.socket.makefile("rb")
 
     def request(self, method, path, **fields):
-        """Send a request and read its answer."""
+        """Send a request and read its response."""
         self.send(method, path, **fields)
         return self.read()
 
@@ -82,12 +82,12 @@
         return identity
 
     def raw(self, data):
-        """Send any bytes."""
+        """Send raw bytes."""
         self.socket.sendall(data)
 
     def read(self):
-        """Read one answer; one whose end never came is not whole."""
-        begun = time.monotonic()
+        """Read one response; ``whole`` is false if its end is missing."""
+        started_s = time.monotonic()
         status, headers = self.read_head()
         body, whole = b"", True
         answer = Answer(status, headers, body, whole, 0.0)
@@ -102,7 +102,7 @@
                 answer.body = self.reader.read()
         except OSError:
             answer.whole = False
-        answer.seconds = time.monotonic() - begun
+        answer.seconds = time.monotonic() - started_s
         return answer
 
     def read_head(self):
@@ -131,7 +131,7 @@
             body += data[:-2]
 
     def is_closed(self, within_s=2.0):
-        """Return whether the router ends the connection without sending more."""
+        """Return whether the router closes the connection without sending more."""
         self.socket.settimeout(within_s)
         try:
             return self.reader.read(1) == b""
--- a/features/platform_standins/fleet.py
+++ b/features/platform_standins/fleet.py
@@ -1,4 +1,4 @@
-"""Routers as processes against the stand-ins."""
+"""Starts routers as processes that use the test doubles of the platform."""
 
 import contextlib
 import json
@@ -19,8 +19,8 @@
 from platform_standins.store import StoreStandIn
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-PATIENCE_S = 60.0
-# Ports below those that the system hands out by itself, also to clients of any other program.
+TIMEOUT_S = 60.0
+# Below the range of ephemeral ports, which the kernel also assigns to clients of other programs.
 _UNASSIGNED_PORTS = (20_000, 32_000)
 _SETTINGS = """\
 [instance]
@@ -47,25 +47,28 @@
 """
 
 
-def eventually(check, patience_s=PATIENCE_S):
-    """Return a check's value as soon as it is true."""
-    last = time.monotonic() + patience_s
+def eventually(check, timeout_s=TIMEOUT_S):
+    """Poll ``check`` until its value is true or the timeout has passed; return the value."""
+    deadline = time.monotonic() + timeout_s
     while True:
         value = check()
-        if value or time.monotonic() >= last:
+        if value or time.monotonic() >= deadline:
             return value
         time.sleep(0.02)
 
 
 class RouterProcess:
-    """One router; ``lines`` are what it logged. ``build`` is the folder of its program."""
+    """A router process; ``lines`` are its log lines, ``build`` is the folder of its program.
+
+    With ``unread`` its output is not read after the start.
+    """
 
     def __init__(
         self,
         folder,
         name,
         host,
-        door,
+        endpoint,
         peer_port,
         seeds="",
         unread=False,
@@ -78,7 +81,7 @@
         self.name = name
         self.port = port
         self.host = host
-        self.door = door
+        self.endpoint = endpoint
         self.seeds = seeds
         self.path = Path(folder) / f"{name}.ini"
         self.bounds = bounds
@@ -111,7 +114,7 @@
             port=self.port,
             peer_port=peer_port,
             seeds=seeds,
-            store=self.door.address,
+            store=self.endpoint.address,
             bounds=bounds,
         )
         self.path.write_text(text, encoding="utf-8")
@@ -128,11 +131,11 @@
         return self.process.poll() is not None
 
     def find(self, message, **fields):
-        """Return the first logged line of a kind, or None."""
+        """Return the first log line of a message type with these fields, or None."""
         return next(iter(self.find_all(message, **fields)), None)
 
     def find_all(self, message, **fields):
-        """Return the logged lines of a kind."""
+        """Return the log lines of a message type with these fields."""
         return [
             line
             for line in list(self.lines)
@@ -155,7 +158,7 @@
 
 
 def ask(address, path="/ready"):
-    """Return the status that an address answers with; 0 where nothing listens."""
+    """Return the HTTP status of a GET; 0 if the connection fails."""
     try:
         caller = Caller(address, 5.0)
     except OSError:
@@ -170,7 +173,7 @@
 
 
 class Fleet:
-    """A store, an operator, replicas of two services, and routers."""
+    """A store, an operator, replicas and routers, which ``cleanup`` stops."""
 
     def __init__(self, cleanup):
         self.cleanup = cleanup
@@ -192,14 +195,16 @@
     def of(self, service):
         return [replica for replica in self.replicas if replica.service == service]
 
-    def add_router(self, *, ready=True, door=None, seeds="", unread=False, build=ROOT, **bounds):
-        """Start a router on a loopback address of its own; wait until it is ready."""
+    def add_router(
+        self, *, ready=True, endpoint=None, seeds="", unread=False, build=ROOT, **bounds
+    ):
+        """Start a router on its own loopback address; wait until it is ready."""
         number = len(self.routers) + 1
         router = RouterProcess(
             self.folder,
             f"router-{number}",
             f"127.0.0.{10 + number}",
-            door or self.store.open_door(),
+            endpoint or self.store.open_endpoint(),
             self.peer_port,
             seeds,
             unread,
@@ -213,17 +218,16 @@
         return router
 
     def start_again(self, router, *, ready=True, same_port=False, build=None):
-        """Start a router that has ended once more, under its name and host; return it.
-
-        It is of the same build as before, unless another one is given.
+        """Restart a router that has ended, with its name, host and build; return the new process.
 
-        With ``same_port`` callers reach it where they did, which needs that port to be free.
+        ``build`` replaces its build. With ``same_port`` it listens for callers at the same port
+        as before, which must be free.
         """
         again = RouterProcess(
             self.folder,
             router.name,
             router.host,
-            router.door,
+            router.endpoint,
             self.peer_port,
             router.seeds,
             port=int(router.address.rpartition(":")[2]) if same_port else 0,
@@ -241,7 +245,7 @@
 
 
 def _free_port():
-    """Return a port that all routers of a fleet can listen at, each at its own address."""
+    """Return a port that is free on all addresses, for all routers of a fleet."""
     while True:
         port = random.randrange(*_UNASSIGNED_PORTS)
         with contextlib.suppress(OSError), socket.socket() as probe:
--- a/features/platform_standins/operator.py
+++ b/features/platform_standins/operator.py
@@ -1,4 +1,4 @@
-"""The operator, who writes configurations into the store."""
+"""The operator, which writes configurations and evacuations to the store."""
 
 import copy
 
@@ -26,7 +26,7 @@
     return made
 
 
-FIRST = {
+FIRST_CONFIGURATION = {
     "configVersion": 1,
     "routes": [
         route("/status/", "portal", "non_idempotent", maxAttempts=1),
@@ -58,11 +58,11 @@
 
 
 class Operator:
-    """Holds the newest configuration and writes each change as a higher version."""
+    """Holds the latest configuration and writes each change as a higher version."""
 
     def __init__(self, store):
         self.store = store
-        self.configuration = copy.deepcopy(FIRST)
+        self.configuration = copy.deepcopy(FIRST_CONFIGURATION)
 
     def write(self):
         return self.store.put("op/config", self.configuration)
@@ -87,8 +87,8 @@
     def add_route(self, made):
         return self.change(lambda configuration: configuration["routes"].append(made))
 
-    def bear_when_cold(self, service, *, per_second, start_s):
-        """Bound what a service's cold replicas get."""
+    def limit_cold_replicas(self, service, *, per_second, start_s):
+        """Limit the requests per second to each cold replica of a service."""
 
         def apply(configuration):
             for each in configuration["services"]:
@@ -98,10 +98,10 @@
         return self.change(apply)
 
     def evacuate(self, domain):
-        """Ask for nothing to be sent to a failure domain; return the store's revision."""
+        """Request the evacuation of a failure domain; return the store revision."""
         return self.store.put(f"op/evacuate/{domain}", {})
 
-    def take_back(self, domain):
+    def end_evacuation(self, domain):
         self.store.remove(f"op/evacuate/{domain}")
 
     def revoke(self, key):
--- a/features/platform_standins/replica.py
+++ b/features/platform_standins/replica.py
@@ -1,4 +1,4 @@
-"""A replica of a plain service or of a model engine, which answers as it is told to."""
+"""A replica of a plain service or of a model engine, with selectable behaviours."""
 
 import itertools
 import select
@@ -14,9 +14,9 @@
 
 
 class Request:
-    """One request as its bytes were read; ``at_s`` is when its head had come.
+    """A received request; ``at_s`` is the time at which its head was complete.
 
-    ``connection`` is the number of the connection that it came on.
+    ``connection`` is the number of the connection that it was received on.
     """
 
     def __init__(self, method, target, headers, body):
@@ -37,17 +37,18 @@
 
 
 class ReplicaStandIn:
-    """Serves on a free port; ``behave`` maps a request's number, from 1, to a behaviour's name.
-
-    It reads a request ``stall_s`` after its bytes may have come; ``gone`` marks one that crashed.
-    It crashes ``crash_after_s`` after it began a request whose target contains ``crash_on``, where
-    that is not empty, and calls ``on_crash``. While ``leaving`` all its answers say so. Where it
-    turns requests away for rest, it asks for ``rest`` (seconds, or any text). ``limit`` is what all
-    its answers name as the requests a second that it takes, None for nothing; ``refused_part`` of
-    the requests it turns away at once.
-
-    ``requests`` are all that were read; ``sent_events`` counts events by request id, ``runs``
-    those that were run, ``cancelled`` those whose connection ended during the run.
+    """Serves on a free port; ``behaviours`` maps a request number, from 1, to a behaviour name.
+
+    Other requests get ``behaviour``. The replica reads a request ``stall_s`` after its first bytes
+    arrive. It crashes ``crash_after_s`` after the start of a request whose target contains a
+    non-empty ``crash_on``, sets ``has_ended`` and calls ``on_crash``. While ``leaving`` is set all
+    responses report it. The behaviour "rest" refuses requests with the Retry-After value
+    ``retry_after`` (seconds, or any text) and records them in ``backoff_requests``. ``limit`` is
+    the rate limit in all responses, in requests per second; None for no limit. The fraction
+    ``refused_fraction`` of the requests is refused at once.
+
+    ``requests`` are all requests that were read. By request id, ``sent_events`` counts events,
+    ``runs`` executions, and ``cancelled`` executions whose connection ended before the response.
     """
 
     def __init__(
@@ -76,12 +77,12 @@
         self.behaviour = "well"
         self.behaviours = {}
         self.stall_s = 0.0
-        self.gone = False
+        self.has_ended = False
         self.leaving = False
-        self.rest = "3"
+        self.retry_after = "3"
         self.limit = None
-        self.refused_part = 0.0
-        self.asked_for_rest = []
+        self.refused_fraction = 0.0
+        self.backoff_requests = []
         self.crash_on = ""
         self.crash_after_s = 0.1
         self.crashed_s = None
@@ -101,7 +102,7 @@
         threading.Thread(target=self._accept, daemon=True).start()
 
     def list(self, state="ready"):
-        """Write this replica's record into the store; older ones say nothing of their start."""
+        """Write this replica's record to the store; without ``born`` it has no start time."""
         born = {} if self.born is None else {"born": self.born}
         self._store.put(
             f"servers/{self.identity}",
@@ -128,7 +129,7 @@
             return len(self._open)
 
     def crash(self):
-        """Reset every connection and accept no more."""
+        """Reset every connection and accept no new ones."""
         try:
             self._socket.shutdown(socket.SHUT_RDWR)
         except OSError:
@@ -138,7 +139,7 @@
             connections = list(self._open)
         for connection in connections:
             self.reset(connection)
-            # A thread that waits for bytes would keep the connection open until some come.
+            # Otherwise a thread that waits for data keeps the connection open until some arrives.
             try:
                 connection.shutdown(socket.SHUT_RD)
             except OSError:
@@ -184,7 +185,7 @@
                     self.requests.append(request)
                     number = len(self.requests)
                 name = self.behaviours.get(number, self.behaviour)
-                if number * self.refused_part % 1 + self.refused_part > 1:
+                if number * self.refused_fraction % 1 + self.refused_fraction > 1:
                     name = "refuse"
                 if self.crash_on and self.crash_on in request.target:
                     name = "crash"
@@ -236,7 +237,7 @@
             raise
 
     def wait(self, connection, request, seconds):
-        """Work for a while; a connection that ends meanwhile cancels the run."""
+        """Simulate work; if the connection ends meanwhile, the execution is cancelled."""
         last = time.monotonic() + seconds
         connection.settimeout(0.01)
         try:
@@ -292,7 +293,7 @@
 
 
 def send_stream(replica, connection, request, last=None, cut=b""):
-    """Send events after the last one that the caller has; ``last`` breaks off after that one."""
+    """Send the events after Last-Event-Id; with ``last``, truncate the stream after that event."""
     first = int(request.header("Last-Event-Id") or 0) + 1
     replica.wait(connection, request, replica.work_s)
     replica.send(connection, replica.head(request, stream=True), request)
@@ -330,9 +331,9 @@
 
 @behaviour("rest")
 def ask_for_rest(replica, connection, request):
-    """Turn a request away and ask its router for rest; remember when, and for which request."""
-    extra = ["X-Not-Executed: 1", f"Retry-After: {replica.rest}"]
-    replica.asked_for_rest.append((time.monotonic(), request.identity))
+    """Refuse a request with a Retry-After header; record the time and the request id."""
+    extra = ["X-Not-Executed: 1", f"Retry-After: {replica.retry_after}"]
+    replica.backoff_requests.append((time.monotonic(), request.identity))
     connection.sendall(replica.head(request, 503, length=0, extra=extra))
     return True
 
@@ -353,15 +354,15 @@
 
 @behaviour("crash")
 def run_and_crash(replica, connection, request):
-    """Begin to run and end as a process does, with all that ran beside; a stream has begun."""
+    """Start to run and crash the whole replica; of a stream, one event is sent before."""
     replica.run(request)
     if is_stream(request):
         replica.send(connection, replica.head(request, stream=True), request)
         first = int(request.header("Last-Event-Id") or 0) + 1
         replica.send(connection, chunk(event(replica, request, first)), request)
     time.sleep(replica.crash_after_s)
-    if not replica.gone:
-        replica.gone = True
+    if not replica.has_ended:
+        replica.has_ended = True
         replica.crashed_s = time.monotonic()
         replica.crash()
         replica.on_crash(replica)
@@ -377,7 +378,7 @@
 
 @behaviour("break off")
 def break_off(replica, connection, request):
-    """Send half of the answer and reset; a stream breaks within an event."""
+    """Send half of the response and reset; a stream is truncated within an event."""
     replica.run(request)
     if is_stream(request):
         first = int(request.header("Last-Event-Id") or 0) + 1
@@ -394,7 +395,7 @@
 
 @behaviour("end early")
 def end_early(replica, connection, request):
-    """Send half of the answer and close in order."""
+    """Send half of the response and close in an orderly way."""
     replica.run(request)
     if is_stream(request):
         return send_stream(replica, connection, request, last=2)
@@ -405,7 +406,7 @@
 
 @behaviour("unframed")
 def unframed(replica, connection, request):
-    """Send an answer without a length and reset before its end."""
+    """Send a response without a length and reset before its end."""
     replica.run(request)
     body = replica.body(request)
     connection.sendall(replica.head(request) + body[: len(body) // 2])
@@ -423,7 +424,7 @@
 
 @behaviour("surplus")
 def surplus(replica, connection, request):
-    """Send the answer twice."""
+    """Send the response twice."""
     replica.run(request)
     body = replica.body(request)
     connection.sendall((replica.head(request, length=len(body)) + body) * 2)
@@ -432,12 +433,12 @@
 
 @behaviour("late surplus")
 def late_surplus(replica, connection, request):
-    """Send a second answer a little later, in the place of the one due next."""
+    """Send a second response a little later, in place of the one to the next request."""
     replica.run(request)
     body = replica.body(request)
     answer = replica.head(request, length=len(body)) + body
     connection.sendall(answer)
-    threading.Timer(0.02, lambda: _quietly(connection, answer)).start()
+    threading.Timer(0.02, lambda: _send_ignoring_errors(connection, answer)).start()
     return True
 
 
@@ -502,7 +503,7 @@
 
 @behaviour("resume twice")
 def resume_twice(replica, connection, request):
-    """Begin again from the first event whatever the caller has already."""
+    """Ignore Last-Event-Id and send the stream again from its first event."""
     replica.run(request)
     replica.send(connection, replica.head(request, stream=True), request)
     for number in range(1, replica.events + 1):
@@ -511,7 +512,7 @@
     return True
 
 
-def _quietly(connection, data):
+def _send_ignoring_errors(connection, data):
     try:
         connection.sendall(data)
     except OSError:
--- a/features/platform_standins/store.py
+++ b/features/platform_standins/store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store: keys with revisions, prefix watches, conditional writes."""
+"""A test double of the metadata store: revisions, prefix watches, conditional writes."""
 
 import base64
 import copy
@@ -12,17 +12,18 @@
 from urllib.parse import parse_qs, urlsplit
 
 WATCH_STEP_S = 0.05
-QUIET = ("silent", "mute")
-# What the system itself writes; the rest is written by the operator and the replicas.
+UNRESPONSIVE = ("silent", "mute")
+# Keys that the gateways write; the others are written by the operator and the replicas.
 SYSTEM_PREFIX = "aspengate/"
 RESET = struct.pack("ii", 1, 0)
 
 
-class Door:
-    """One address of the store, with its own faults: ``busy``, ``reset``, ``silent``, ``mute``.
+class StoreEndpoint:
+    """An address of the store with its own faults: ``busy``, ``reset``, ``silent``, ``mute``.
 
-    A silent one ends the watches that wait, a mute one leaves them open and tells nothing more.
-    ``lose_writes`` next writes are done, or done ``late_s`` later, and not answered.
+    Both ``silent`` and ``mute`` leave calls unanswered: the former ends pending watches, the
+    latter keeps them open without events. The next ``lose_writes`` writes are executed, after
+    ``late_s``, but not answered.
     """
 
     def __init__(self, store, host="127.0.0.1"):
@@ -32,13 +33,13 @@
         self.lose_writes = 0
         self.late_s = 0.0
         self.calls = Counter()
-        door = self
+        endpoint = self
 
         class Handler(BaseHTTPRequestHandler):
             protocol_version = "HTTP/1.1"
 
             def do_GET(self):
-                door.serve(self)
+                endpoint.serve(self)
 
             do_POST = do_DELETE = do_GET
 
@@ -56,7 +57,7 @@
         url = urlsplit(handler.path)
         query = {key: values[0] for key, values in parse_qs(url.query).items()}
         self.calls[f"{handler.command} {url.path}"] += 1
-        if self._refuses(handler):
+        if self._inject_fault(handler):
             return
         time.sleep(self.slow_s)
         if url.path == "/kv-txn" and self.lose_writes > 0:
@@ -64,7 +65,7 @@
             self._lose(handler, body)
             return
         status, answer = self.store.answer(handler.command, url.path, query, body, self)
-        if status is None or self._refuses(handler):
+        if status is None or self._inject_fault(handler):
             handler.close_connection = True
             return
         data = json.dumps(answer).encode()
@@ -75,14 +76,14 @@
         handler.wfile.write(head.encode() + data)
 
     def _lose(self, handler, body):
-        """Do a write now or later, and never say anything more on its connection."""
+        """Execute a write now or later, without ever responding on its connection."""
         if self.late_s:
             threading.Timer(self.late_s, self.store.transact, [body]).start()
         else:
             self.store.transact(body)
-        self._say_nothing(handler)
+        self._leave_unanswered(handler)
 
-    def _refuses(self, handler):
+    def _inject_fault(self, handler):
         if self.fault == "busy":
             handler.send_response(503)
             if self.store.era is not None:
@@ -93,18 +94,18 @@
             handler.connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
             handler.connection.close()
             handler.close_connection = True
-        elif self.fault in QUIET:
-            self._say_nothing(handler)
+        elif self.fault in UNRESPONSIVE:
+            self._leave_unanswered(handler)
         return bool(self.fault)
 
-    def _say_nothing(self, handler):
+    def _leave_unanswered(self, handler):
         while not self.store.closing.wait(0.05):
-            if self.fault not in QUIET and not self.lose_writes:
+            if self.fault not in UNRESPONSIVE and not self.lose_writes:
                 break
         handler.close_connection = True
 
-    def mend(self):
-        """End all of this door's faults."""
+    def clear_faults(self):
+        """End all faults of this endpoint."""
         self.fault, self.slow_s, self.lose_writes = "", 0.0, 0
 
     def close(self):
@@ -113,30 +114,30 @@
 
 
 class StoreStandIn:
-    """The values behind all doors; ``era`` is what its answers name, None for nothing."""
+    """The data behind all endpoints; ``era`` is sent in responses unless it is None."""
 
     def __init__(self):
         self.era = 1
         self.items = {}
         self.revision = 0
         self.history = []
-        self.forgotten = 0
+        self.compacted_revision = 0
         self.closing = threading.Event()
         self.changed = threading.Condition()
-        self.doors = []
+        self.endpoints = []
 
-    def open_door(self):
-        door = Door(self)
-        self.doors.append(door)
-        return door
+    def open_endpoint(self):
+        endpoint = StoreEndpoint(self)
+        self.endpoints.append(endpoint)
+        return endpoint
 
     def close(self):
         self.closing.set()
-        for door in self.doors:
-            door.close()
+        for endpoint in self.endpoints:
+            endpoint.close()
 
     def put(self, key, value):
-        """Write JSON as the operator and the replicas do."""
+        """Write a JSON value, as the operator and the replicas do."""
         encoded = base64.b64encode(json.dumps(value).encode()).decode()
         with self.changed:
             self._write(key, encoded)
@@ -149,29 +150,32 @@
             self.changed.notify_all()
 
     def value(self, key):
-        """Return the JSON under a key, or None."""
+        """Return the JSON value of a key, or None."""
         item = self.items.get(key)
         return json.loads(base64.b64decode(item["value"])) if item else None
 
-    def forget_history(self):
+    def compact_history(self):
         with self.changed:
             self.history.clear()
-            self.forgotten = self.revision
+            self.compacted_revision = self.revision
             self.changed.notify_all()
 
     def copy(self):
-        """Return all that the store holds, to come back from later."""
+        """Return a copy of the store's data, for ``restore_copy``."""
         with self.changed:
-            return copy.deepcopy((self.items, self.revision, self.history, self.forgotten))
+            return copy.deepcopy((self.items, self.revision, self.history, self.compacted_revision))
 
-    def come_back_from(self, earlier):
-        """Hold what a copy holds; return what the operator and the replicas had written since.
+    def restore_copy(self, earlier):
+        """Replace the data by a copy and raise the era; return the lost writes of other writers.
 
-        That is by key, encoded, or None for a key that was removed.
+        These are the writes of the operator and the replicas since the copy was made, as encoded
+        values by key, with None for a removed key.
         """
         with self.changed:
             before = self.items
-            self.items, self.revision, self.history, self.forgotten = copy.deepcopy(earlier)
+            self.items, self.revision, self.history, self.compacted_revision = copy.deepcopy(
+                earlier
+            )
             if self.era is not None:
                 self.era += 1
             keys = {*before, *self.items}
@@ -184,8 +188,8 @@
             if held.get(key) != value and not key.startswith(SYSTEM_PREFIX)
         }
 
-    def write_again(self, lost):
-        """Write what was lost, as its writers do."""
+    def rewrite_lost(self, lost):
+        """Repeat the lost writes, as the operator and the replicas do."""
         with self.changed:
             for key, encoded in lost.items():
                 if encoded is None:
@@ -194,7 +198,7 @@
                     self._write(key, encoded)
             self.changed.notify_all()
 
-    def answer(self, method, path, query, body, door):
+    def answer(self, method, path, query, body, endpoint):
         if path == "/kv-key":
             item = self.items.get(query["key"])
             return (200, {**item, "at": self.revision}) if item else (404, {})
@@ -204,7 +208,7 @@
                 found = [item for key, item in sorted(self.items.items()) if key.startswith(prefix)]
                 return 200, {"items": found, "more": False, "at": self.revision}
         if path == "/kv-watch":
-            return self._watch(query, door)
+            return self._watch(query, endpoint)
         if path == "/kv-txn":
             return self.transact(body)
         return 404, {}
@@ -224,15 +228,15 @@
             self.changed.notify_all()
             return 200, {"revision": self.revision}
 
-    def _watch(self, query, door):
+    def _watch(self, query, endpoint):
         prefix, since = query["pathPrefix"], int(query["sinceRev"])
         last = time.monotonic() + int(query["waitMs"]) / 1_000
         with self.changed:
             while True:
-                if door.fault == "mute" and not self.closing.is_set():
+                if endpoint.fault == "mute" and not self.closing.is_set():
                     self.changed.wait(WATCH_STEP_S)
                     continue
-                if since < self.forgotten or since > self.revision:
+                if since < self.compacted_revision or since > self.revision:
                     return 410, {}
                 events = [
                     event
@@ -242,7 +246,7 @@
                 remaining = last - time.monotonic()
                 if events or remaining <= 0:
                     return 200, {"events": events, "at": self.revision}
-                if door.fault or self.closing.is_set():
+                if endpoint.fault or self.closing.is_set():
                     return None, None
                 self.changed.wait(min(remaining, WATCH_STEP_S))
 
--- a/features/soak/promises.py
+++ b/features/soak/promises.py
@@ -140,7 +140,7 @@
             for each in list(replica.requests)
             if each.identity in calls
         ]
-        for begun_s, identity in list(replica.asked_for_rest):
+        for begun_s, identity in list(replica.backoff_requests):
             router = calls[identity].router if identity in calls else None
             if not keeps_words(soak, router):
                 continue
--- a/features/soak/run.py
+++ b/features/soak/run.py
@@ -139,7 +139,9 @@
 
     def sound(self, service):
         """Return a service's replicas that have neither ended nor said that they leave."""
-        return [each for each in list(self.fleet.of(service)) if not each.gone and not each.leaving]
+        return [
+            each for each in list(self.fleet.of(service)) if not each.has_ended and not each.leaving
+        ]
 
     def _bounds(self):
         return {
@@ -176,8 +178,8 @@
 
     def _recovers(self):
         """Return whether all routers serve again once nothing strikes any more."""
-        for door in self.fleet.store.doors:
-            door.mend()
+        for endpoint in self.fleet.store.endpoints:
+            endpoint.clear_faults()
         for replica in self.fleet.replicas:
             replica.behaviour = "well"
         self._wake_all()
@@ -300,26 +302,26 @@
 
 @strike("store")
 def store(soak, fault):
-    spoil(soak, [soak.fleet.routers[fault.router].door], fault)
+    spoil(soak, [soak.fleet.routers[fault.router].endpoint], fault)
 
 
 @strike("store of all")
 def store_of_all(soak, fault):
-    spoil(soak, [router.door for router in soak.fleet.routers], fault)
+    spoil(soak, [router.endpoint for router in soak.fleet.routers], fault)
 
 
-def spoil(soak, doors, fault):
-    for door in doors:
+def spoil(soak, endpoints, fault):
+    for endpoint in endpoints:
         if fault.how == "slow":
-            door.slow_s = 0.4
+            endpoint.slow_s = 0.4
         elif fault.how == "lose":
-            door.lose_writes = 1_000_000
+            endpoint.lose_writes = 1_000_000
         else:
-            door.fault = fault.how
+            endpoint.fault = fault.how
 
     def mend():
-        for door in doors:
-            door.mend()
+        for endpoint in endpoints:
+            endpoint.clear_faults()
 
     soak._later(fault.for_s, mend)
 
@@ -334,18 +336,18 @@
     earlier = store.copy()
 
     def away():
-        for door in store.doors:
-            door.fault = "reset"
+        for endpoint in store.endpoints:
+            endpoint.fault = "reset"
         soak._later(AWAY_S, back)
 
     def back():
-        lost = store.come_back_from(earlier)
-        for door in store.doors:
-            door.mend()
+        lost = store.restore_copy(earlier)
+        for endpoint in store.endpoints:
+            endpoint.clear_faults()
         soak._later(WRITTEN_AGAIN_S, lambda: written_again(lost))
 
     def written_again(lost):
-        store.write_again(lost)
+        store.rewrite_lost(lost)
         soak.coming_back = False
 
     soak._later(fault.for_s, away)
@@ -355,7 +357,7 @@
 def evacuate(soak, fault):
     """Evacuate a failure domain that no replica is in, so that the operator's part changes."""
     soak.fleet.operator.evacuate("hall-9")
-    soak._later(fault.for_s, lambda: soak.fleet.operator.take_back("hall-9"))
+    soak._later(fault.for_s, lambda: soak.fleet.operator.end_evacuation("hall-9"))
 
 
 @strike("replicas")
@@ -377,9 +379,9 @@
 @strike("replica crashes")
 def replica_crashes(soak, fault):
     service = ("portal", "engine")[fault.router % 2]
-    listed = [each for each in soak.fleet.of(service) if not each.gone]
+    listed = [each for each in soak.fleet.of(service) if not each.has_ended]
     if len(listed) > 1:
-        listed[0].gone = True
+        listed[0].has_ended = True
         listed[0].crash()
         listed[0].unlist()
         soak.add_replica(service)
@@ -409,12 +411,12 @@
     soak.add_replica(replica.service)
 
     def end():
-        replica.gone = True
+        replica.has_ended = True
         replica.unlist()
         soak._later(DRAIN_S + 0.5, replica.crash)
 
     recorded_s = RECORDED_LATE_S + fault.for_s
-    soak._later(recorded_s, lambda: replica.gone or replica.list("draining"))
+    soak._later(recorded_s, lambda: replica.has_ended or replica.list("draining"))
     soak._later(recorded_s + DRAIN_S, end)
 
 
@@ -424,7 +426,7 @@
     replica = spoken(soak, fault)
     if replica is None:
         return
-    replica.behaviour, replica.rest = "rest", str(REST_S)
+    replica.behaviour, replica.retry_after = "rest", str(REST_S)
 
     def mend():
         replica.behaviour = "well"
@@ -438,7 +440,7 @@
     replica = spoken(soak, fault)
     if replica is not None:
         replica.unlist()
-        soak._later(LAPSE_S, lambda: replica.gone or replica.list())
+        soak._later(LAPSE_S, lambda: replica.has_ended or replica.list())
 
 
 @strike("start again")
@@ -446,7 +448,7 @@
     """Have a replica end and start again under its id, at another address."""
     replica = spoken(soak, fault)
     if replica is not None:
-        replica.gone = True
+        replica.has_ended = True
         replica.crash()
         again = {"identity": replica.identity}
         soak._later(LAPSE_S, lambda: soak.add_replica(replica.service, **again))
--- a/features/steps/cold_starts_steps.py
+++ b/features/steps/cold_starts_steps.py
@@ -354,7 +354,7 @@
 @given("a gateway before two engines that are cold and bear one request a second")
 def gateway_before_cold(context):
     context.fleet = Fleet(context.cleanup)
-    context.fleet.operator.bear_when_cold("engine", per_second=1.0, start_s=3.0)
+    context.fleet.operator.limit_cold_replicas("engine", per_second=1.0, start_s=3.0)
     for _ in range(2):
         context.fleet.add_replica("engine", cold_ms=600_000)
     context.router = context.fleet.add_router(cold_overage=2)
--- a/features/steps/crashes_steps.py
+++ b/features/steps/crashes_steps.py
@@ -66,7 +66,7 @@
     for replica in context.fleet.of("portal"):
         replica.crash_on = "/receipt/ending"
     assert get_status(context.router, "/receipt/ending") == 502
-    alive = [replica for replica in context.fleet.of("portal") if not replica.gone]
+    alive = [replica for replica in context.fleet.of("portal") if not replica.has_ended]
     for replica in alive:
         replica.behaviour = "lose"
     assert get_status(context.router, "/receipt/lost") == 502
@@ -74,7 +74,7 @@
 
 @then("one log line names the crashed replica and its request, and none names the other request")
 def one_log_line(context):
-    ended = [replica for replica in context.fleet.of("portal") if replica.gone]
+    ended = [replica for replica in context.fleet.of("portal") if replica.has_ended]
     found = eventually(lambda: context.router.find_all("replica.ended"))
     contents = [
         request_fingerprint("board", f"/receipt/{name}", b"") for name in ("ending", "lost")
@@ -97,7 +97,7 @@
 
 @then("its trace names each replica, when it terminated and which router detected it")
 def trace_names_crashes(context):
-    ended = [replica.identity for replica in context.fleet.of("portal") if replica.gone]
+    ended = [replica.identity for replica in context.fleet.of("portal") if replica.has_ended]
     assert len(ended) == 3, ended
     ends = eventually(lambda: len(found := context.router.find_all("request.ended")) == 4 and found)
     lines = [json.dumps(line) for line in context.router.lines]
@@ -300,12 +300,12 @@
     for _ in range(2):
         assert eventually(lambda: context.common and context.common[-1] == 200)
         time.sleep(0.2)
-        alive = [each for each in crashing.fleet.of("portal") if not each.gone]
+        alive = [each for each in crashing.fleet.of("portal") if not each.has_ended]
         for replica in alive:
-            replica.gone = True
+            replica.has_ended = True
             replica.crash()
             crashing.record_crash(replica)
-        assert eventually(lambda: any(not each.gone for each in crashing.fleet.of("portal")))
+        assert eventually(lambda: any(not each.has_ended for each in crashing.fleet.of("portal")))
 
 
 def request_common(context, router):
@@ -316,7 +316,7 @@
 @then("all gateways answer it once the replicas are replaced")
 def common_answered(context):
     crashing = context.crashing
-    ended = {replica.identity for replica in crashing.fleet.of("portal") if replica.gone}
+    ended = {replica.identity for replica in crashing.fleet.of("portal") if replica.has_ended}
     assert len(ended) >= 12, ended
     told = [line for router in crashing.fleet.routers for line in router.find_all("replica.ended")]
     assert told, "no request was there when its replica ended"
--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -83,7 +83,7 @@
 
 @when("the operator withdraws the first evacuation and evacuates the second failure domain")
 def withdraws_first(context):
-    context.fleet.operator.take_back(FIRST)
+    context.fleet.operator.end_evacuation(FIRST)
     evacuate(context, SECOND)
 
 
@@ -107,14 +107,14 @@
 
 @when("the store rejects the second gateway as busy and the first failure domain is evacuated")
 def store_rejects_second_gateway(context):
-    context.fleet.routers[1].door.fault = "busy"
+    context.fleet.routers[1].endpoint.fault = "busy"
     evacuate(context, FIRST)
 
 
 @when("the store discards its history while the first failure domain is evacuated")
 def store_discards_history(context):
     evacuate(context, FIRST)
-    context.fleet.store.forget_history()
+    context.fleet.store.compact_history()
 
 
 @then("soon all requests go to the second failure domain")
--- a/features/steps/gateway_configuration_steps.py
+++ b/features/steps/gateway_configuration_steps.py
@@ -79,7 +79,7 @@
 @when("the store compacts its history while a route is added")
 def history_compacted(context):
     context.fleet.operator.add_route(route("/new/", "portal"))
-    context.fleet.store.forget_history()
+    context.fleet.store.compact_history()
 
 
 @then("the route is served soon")
@@ -96,7 +96,7 @@
 
 @when('the second one\'s proxy is "{fault}" and a key is revoked')
 def second_proxy_fails(context, fault):
-    context.fleet.routers[1].door.fault = fault
+    context.fleet.routers[1].endpoint.fault = fault
     context.fleet.operator.revoke("key-two")
 
 
@@ -108,10 +108,10 @@
 
 @when("a third one starts with a busy proxy and the first as its seed")
 def third_gateway_starts(context):
-    door = context.fleet.store.open_door()
-    door.fault = "busy"
+    endpoint = context.fleet.store.open_endpoint()
+    endpoint.fault = "busy"
     seed = context.fleet.routers[0].peer_address
-    context.router = context.fleet.add_router(ready=False, door=door, seeds=seed)
+    context.router = context.fleet.add_router(ready=False, endpoint=endpoint, seeds=seed)
 
 
 @then("it is ready and serves")
--- a/features/steps/gateway_prepaid_steps.py
+++ b/features/steps/gateway_prepaid_steps.py
@@ -182,7 +182,7 @@
     first, second = context.fleet.routers
     assert send_request(first).status == 200
     assert eventually(lambda: second.find("member.heard", name=first.name))
-    first.door.fault = "busy"
+    first.endpoint.fault = "busy"
     assert eventually(lambda: first.find("store.lost"))
     held = grants(first)[-1]["granted"]
     context.statuses = [send_request(first).status for _ in range(2 * held // PROMPT_TOKENS)]
@@ -198,7 +198,7 @@
     for router in context.fleet.routers * 4:
         assert send_request(router).status == 200
     for router in context.fleet.routers:
-        router.door.fault = "busy"
+        router.endpoint.fault = "busy"
 
 
 @then("requests through either are served")
@@ -210,8 +210,8 @@
 @when('the store loses responses of writes, which take effect "{when}", while requests are sent')
 def lost_responses(context, when):
     for router in context.fleet.routers:
-        router.door.lose_writes = 3
-        router.door.late_s = 1.0 if when == "later" else 0.0
+        router.endpoint.lose_writes = 3
+        router.endpoint.late_s = 1.0 if when == "later" else 0.0
     context.served, context.statuses = spend(context.fleet.routers, maximum=120)
 
 
--- a/features/steps/gateway_repeats_steps.py
+++ b/features/steps/gateway_repeats_steps.py
@@ -70,8 +70,8 @@
 @when("they are pressed, killed and started again three times, and the store loses the answers")
 def pressed_and_killed(context):
     press(context)
-    for door in context.fleet.store.doors:
-        door.lose_writes = 1_000_000
+    for endpoint in context.fleet.store.endpoints:
+        endpoint.lose_writes = 1_000_000
     for _ in range(3):
         start_again(context)
         press(context)
--- a/features/steps/leadership_steps.py
+++ b/features/steps/leadership_steps.py
@@ -306,7 +306,7 @@
 @when("the store says nothing more to the two that lead, and a key is taken away")
 def leaders_unheard(context):
     for router in context.fleet.routers[:2]:
-        router.door.fault = "mute"
+        router.endpoint.fault = "mute"
     context.version = context.fleet.operator.revoke("key-two")
 
 
@@ -330,11 +330,11 @@
 @when("a router starts whose store says nothing, and four of its calls are given up")
 def unanswered(context):
     fleet = context.fleet = Fleet(context.cleanup)
-    door = fleet.store.open_door()
-    door.fault = "mute"
+    endpoint = fleet.store.open_endpoint()
+    endpoint.fault = "mute"
     fleet.peer_port = int(context.seed.address.rpartition(":")[2])
-    fleet.add_router(ready=False, door=door, seeds=context.seed.address)
-    assert eventually(lambda: door.calls["POST /kv-txn"] >= 4)
+    fleet.add_router(ready=False, endpoint=endpoint, seeds=context.seed.address)
+    assert eventually(lambda: endpoint.calls["POST /kv-txn"] >= 4)
 
 
 @then("the seed was told of it six times or more")
--- a/features/steps/leaving_and_resting_steps.py
+++ b/features/steps/leaving_and_resting_steps.py
@@ -27,7 +27,7 @@
 @when("for 6 s one replica of each service refuses requests and asks for a backoff")
 def one_backs_off(context):
     for replica in context.affected:
-        replica.behaviour, replica.rest = "rest", str(BACKOFF_S)
+        replica.behaviour, replica.retry_after = "rest", str(BACKOFF_S)
     context.callers = LoadGenerator(context.fleet.routers).run_for(6.0)
 
 
@@ -70,7 +70,7 @@
         for identity, at_s in replica_arrivals(context.callers, replica)
     ]
     found = []
-    for begun_s, identity in replica.asked_for_rest:
+    for begun_s, identity in replica.backoff_requests:
         name = asked[identity].router.name
         first_s, last_s = begun_s + BACKOFF_APPLIED_S, begun_s + backoff_s
         found.append(sum(1 for router, at_s in got if router == name and first_s < at_s < last_s))
--- a/features/steps/mirror_steps.py
+++ b/features/steps/mirror_steps.py
@@ -72,7 +72,7 @@
 @when("connections to both are opened")
 def open_connections(context):
     clock = SystemClock()
-    store = PlatformStore(context.store.open_door().address, 2_000, clock)
+    store = PlatformStore(context.store.open_endpoint().address, 2_000, clock)
     store.get("nothing")
     replica = ReplicaConnection(context.replica.address, clock, 1_000)
     context.cleanup.callback(replica.close)
--- a/features/steps/replica_limits_steps.py
+++ b/features/steps/replica_limits_steps.py
@@ -40,7 +40,7 @@
 )
 def others_refuse(context, seconds, limit):
     for replica in context.fleet.replicas:
-        replica.refused_part = 0.0 if replica in context.in_need else 0.3
+        replica.refused_fraction = 0.0 if replica in context.in_need else 0.3
     one_limited(context, seconds, limit)
 
 
@@ -126,10 +126,10 @@
 
 def store_away(context):
     for router in context.fleet.routers:
-        router.door.fault = "silent"
+        router.endpoint.fault = "silent"
     time.sleep(3.0)
     for router in context.fleet.routers:
-        router.door.fault = ""
+        router.endpoint.fault = ""
     time.sleep(2.0)
 
 
--- a/features/steps/replica_statements_steps.py
+++ b/features/steps/replica_statements_steps.py
@@ -415,7 +415,7 @@
 @when("both portal replicas ask for a backoff, one for 3 s and one for 60 s")
 def both_back_off(context):
     for each, backoff_s in zip(context.fleet.of("portal"), ("3", "60"), strict=True):
-        each.behaviour, each.rest = "rest", backoff_s
+        each.behaviour, each.retry_after = "rest", backoff_s
     while not all(each.requests for each in context.fleet.of("portal")):
         assert request(context, "/status/1").status == 503
 
@@ -466,7 +466,7 @@
 def one_leaves_one_backs_off(context):
     one, other = context.fleet.of("portal")
     one.leaving = True
-    other.behaviour, other.rest = "rest", "60"
+    other.behaviour, other.retry_after = "rest", "60"
     while not (one.requests and other.requests):
         request(context, "/status/1")
 
--- a/features/steps/restored_store_steps.py
+++ b/features/steps/restored_store_steps.py
@@ -34,8 +34,8 @@
 
 
 def set_fault(context, fault):
-    for door in context.fleet.store.doors:
-        door.fault = fault
+    for endpoint in context.fleet.store.endpoints:
+        endpoint.fault = fault
 
 
 FAULTS = {"while watches wait": "", "and first rejects all calls": "busy"}
@@ -44,17 +44,17 @@
 def restore(context, earlier, *, fault="reset", cut_off=()):
     """Make the store fail, restore it from a copy, and repeat the lost writes.
 
-    The doors ``cut_off`` stay unresponsive.
+    The endpoints ``cut_off`` stay unresponsive.
     """
     store = context.fleet.store
     set_fault(context, fault)
     time.sleep(OUTAGE_S if fault else 0.0)
-    lost = store.come_back_from(earlier)
+    lost = store.restore_copy(earlier)
     set_fault(context, "")
-    for door in cut_off:
-        door.fault = "silent"
+    for endpoint in cut_off:
+        endpoint.fault = "silent"
     time.sleep(REWRITE_DELAY_S)
-    store.write_again(lost)
+    store.rewrite_lost(lost)
 
 
 def restore_unseen(context, earlier):
@@ -63,7 +63,7 @@
     set_fault(context, "reset")
     time.sleep(OUTAGE_S)
     known = store.revision
-    store.write_again(store.come_back_from(earlier))
+    store.rewrite_lost(store.restore_copy(earlier))
     change_configuration(context)
     while store.revision <= known:
         context.fleet.replicas[0].list()
@@ -98,18 +98,22 @@
 
 @when('the store is restored from a copy "{how}"')
 def store_restored(context, how):
-    context.lists = sum(door.calls["GET /kv-range"] for door in context.fleet.store.doors)
+    context.lists = sum(
+        endpoint.calls["GET /kv-range"] for endpoint in context.fleet.store.endpoints
+    )
     for number in range(2 if how == "twice" else 1):
         earlier = context.fleet.store.copy()
         lose_changes(context, number)
-        last = context.fleet.routers[-1].door
+        last = context.fleet.routers[-1].endpoint
         cut_off = [last] if how == "but not for one gateway" else []
         restore(context, earlier, fault=FAULTS.get(how, "reset"), cut_off=cut_off)
 
 
 @when("the store is restored from a copy, and gets more writes than it lost before it answers")
 def store_restored_unseen(context):
-    context.lists = sum(door.calls["GET /kv-range"] for door in context.fleet.store.doors)
+    context.lists = sum(
+        endpoint.calls["GET /kv-range"] for endpoint in context.fleet.store.endpoints
+    )
     earlier = context.fleet.store.copy()
     lose_changes(context, 0)
     restore_unseen(context, earlier)
@@ -128,7 +132,7 @@
 
 @then("the gateways made few list calls to the store")
 def few_list_calls(context):
-    lists = sum(door.calls["GET /kv-range"] for door in context.fleet.store.doors)
+    lists = sum(endpoint.calls["GET /kv-range"] for endpoint in context.fleet.store.endpoints)
     per_gateway = (lists - context.lists) / len(context.fleet.routers)
     assert per_gateway <= MAX_LISTS_PER_GATEWAY, per_gateway
 
@@ -154,7 +158,7 @@
 
 @when("then the evacuation ends")
 def evacuation_ends(context):
-    context.fleet.operator.take_back("hall-1")
+    context.fleet.operator.end_evacuation("hall-1")
 
 
 @then("all gateways send requests to it again")
@@ -184,7 +188,7 @@
         assert eventually(lambda: router.find("replica.state"))  # noqa: B023
         assert eventually(lambda: status_of(router, key="key-two") == 401)  # noqa: B023
     context.before = [len(each.requests) for each in (context.draining, context.evacuated)]
-    context.lost = fleet.store.come_back_from(earlier)
+    context.lost = fleet.store.restore_copy(earlier)
 
 
 def _has_listed(router, replica):
@@ -199,7 +203,7 @@
             assert status_of(router, key="key-two") == 401
             assert status_of(router, f"/receipt/{number}") == 200
         if number > 50 and not is_rewritten:
-            context.fleet.store.write_again(context.lost)
+            context.fleet.store.rewrite_lost(context.lost)
             is_rewritten = True
     now = [len(each.requests) for each in (context.draining, context.evacuated)]
     assert now == context.before, (now, context.before)
@@ -224,7 +228,7 @@
     stand_in = StoreStandIn()
     context.cleanup.callback(stand_in.close)
     stand_in.era = named
-    context.client = PlatformStore(stand_in.open_door().address, 2_000.0, SystemClock())
+    context.client = PlatformStore(stand_in.open_endpoint().address, 2_000.0, SystemClock())
     context.lines = []
     eliot.add_destinations(context.lines.append)
     context.cleanup.callback(eliot.remove_destination, context.lines.append)
@@ -278,8 +282,8 @@
     statuses = [get_status(context.router, "/receipt/ending") for _ in range(4)]
     assert statuses == [502, 502, 502, 503], statuses
     assert eventually(lambda: crash_records(context))
-    context.crashed = sum(replica.gone for replica in context.fleet.of("portal"))
-    store.come_back_from(earlier)
+    context.crashed = sum(replica.has_ended for replica in context.fleet.of("portal"))
+    store.restore_copy(earlier)
     assert not crash_records(context)
 
 
@@ -292,7 +296,7 @@
     assert eventually(lambda: crash_records(context), TIMEOUT_S)
     for router in context.fleet.routers:
         assert get_status(router, "/receipt/ending") == 503
-    crashed = sum(replica.gone for replica in context.fleet.of("portal"))
+    crashed = sum(replica.has_ended for replica in context.fleet.of("portal"))
     assert crashed == context.crashed, (crashed, context.crashed)
 
 
@@ -311,7 +315,7 @@
     for _ in range(4):
         assert send_request(killed).status == 200
     killed.kill()
-    context.fleet.store.come_back_from(earlier)
+    context.fleet.store.restore_copy(earlier)
     context.remaining = context.fleet.routers[1:]
 
 
@@ -332,7 +336,7 @@
     context.lost_replica = context.fleet.add_replica("portal")
     for router in context.fleet.routers:
         assert eventually(lambda: _has_listed(router, context.lost_replica))  # noqa: B023
-    context.fleet.store.come_back_from(earlier)
+    context.fleet.store.restore_copy(earlier)
 
 
 @then("all gateways finally remove that replica")
--- a/features/steps/upgrades_steps.py
+++ b/features/steps/upgrades_steps.py
@@ -108,11 +108,11 @@
     found = build_of(context, build)
     if found is None:
         return
-    door = context.fleet.store.open_door()
-    door.fault = "silent"
-    context.door = door
+    endpoint = context.fleet.store.open_endpoint()
+    endpoint.fault = "silent"
+    context.endpoint = endpoint
     context.other = context.fleet.add_router(
-        ready=False, door=door, build=found, seeds=context.fleet.routers[0].address
+        ready=False, endpoint=endpoint, build=found, seeds=context.fleet.routers[0].address
     )
 
 
@@ -132,7 +132,7 @@
 
 @then("it serves as soon as its store answers")
 def serves_with_store(context):
-    context.door.mend()
+    context.endpoint.clear_faults()
     other_serves(context)
 
 
--- a/features/steps/witness_steps.py
+++ b/features/steps/witness_steps.py
@@ -160,10 +160,10 @@
 @given("a gateway whose store does not respond")
 def gateway_without_store(context):
     fleet = Fleet(context.cleanup)
-    door = fleet.store.open_door()
-    door.fault = "busy"
+    endpoint = fleet.store.open_endpoint()
+    endpoint.fault = "busy"
     context.fleet = fleet
-    context.router = fleet.add_router(ready=False, door=door)
+    context.router = fleet.add_router(ready=False, endpoint=endpoint)
 
 
 @when("a peer asks it for tokens and sends it ceilings")
