--- a/features/steps/gateway_repeats_steps.py
+++ b/features/steps/gateway_repeats_steps.py
@@ -74,8 +74,8 @@
 )
 def loaded_and_killed(context):
     send_requests(context)
-    for door in context.fleet.store.doors:
-        door.lose_writes = 1_000_000
+    for endpoint in context.fleet.store.endpoints:
+        endpoint.lose_writes = 1_000_000
     for _ in range(3):
         restart(context)
         send_requests(context)
--- a/features/steps/leadership_steps.py
+++ b/features/steps/leadership_steps.py
@@ -310,7 +310,7 @@
 @when("the store sends no more data to the two leaders, and a key is revoked")
 def mute_leaders_store(context):
     for router in context.fleet.routers[:2]:
-        router.door.fault = "mute"
+        router.endpoint.fault = "mute"
     context.version = context.fleet.operator.revoke("key-two")
 
 
@@ -334,11 +334,11 @@
 @when("a router starts whose store does not answer, and has made four calls")
 def start_without_store(context):
     fleet = context.fleet = Fleet(context.cleanup)
-    door = fleet.store.open_door()
-    door.fault = "mute"
+    endpoint = fleet.store.open_endpoint()
+    endpoint.fault = "mute"
     fleet.peer_port = int(context.seed.address.rpartition(":")[2])
-    fleet.add_router(ready=False, door=door, seeds=context.seed.address)
-    assert eventually(lambda: door.calls["POST /kv-txn"] >= 4)
+    fleet.add_router(ready=False, endpoint=endpoint, seeds=context.seed.address)
+    assert eventually(lambda: endpoint.calls["POST /kv-txn"] >= 4)
 
 
 @then("the seed has received at least six messages")
--- a/features/steps/upgrades_steps.py
+++ b/features/steps/upgrades_steps.py
@@ -114,11 +114,11 @@
     found = find_build(context, build)
     if found is None:
         return
-    door = context.fleet.store.open_door()
-    door.fault = "silent"
-    context.door = door
+    endpoint = context.fleet.store.open_endpoint()
+    endpoint.fault = "silent"
+    context.endpoint = endpoint
     context.other = context.fleet.add_router(
-        ready=False, door=door, build=found, seeds=context.fleet.routers[0].address
+        ready=False, endpoint=endpoint, build=found, seeds=context.fleet.routers[0].address
     )
 
 
@@ -138,7 +138,7 @@
 
 @then("it serves as soon as its store answers")
 def check_serves_with_store(context):
-    context.door.mend()
+    context.endpoint.clear_faults()
     check_other_serves(context)
 
 
