--- a/features/steps/crashes_steps.py
+++ b/features/steps/crashes_steps.py
@@ -11,8 +11,8 @@
 from platform_standins.fleet import eventually
 
 from aspengate.crashes import request_fingerprint
-from aspengate.explanation import read_lines, tell_story
-from aspengate.losses import cause_of
+from aspengate.explanation import read_lines, trace_request
+from aspengate.losses import describe_end
 from gateway_world import TOKENS, start_gateways
 
 
@@ -102,8 +102,8 @@
     ends = eventually(lambda: len(found := context.router.find_all("request.ended")) == 4 and found)
     lines = [json.dumps(line) for line in context.router.lines]
     told = read_lines("router-1", lines)
-    story = "\n".join(tell_story(ends[-1]["request_id"], told).lines())
-    cause = cause_of(ends[-1]["request_id"], told)
+    story = "\n".join(trace_request(ends[-1]["request_id"], told).lines())
+    cause = describe_end(ends[-1]["request_id"], told)
     for identity in ended:
         assert f"replica.ended  replica={identity}" in story, story
         assert f"{identity} " in cause and "as router-1 saw" in cause, cause
--- a/features/steps/foreign_entries_steps.py
+++ b/features/steps/foreign_entries_steps.py
@@ -15,7 +15,7 @@
 from aspengate.errors import AspengateError, ErrorKind
 from aspengate.platform import PlatformDeployment
 from aspengate.store import Changes, Snapshot, StoreEra, StoreItem, StoreMirror
-from aspengate.telemetry import NullCounters, lasting_thread
+from aspengate.telemetry import NullCounters, supervised_thread
 from crashes_steps import get_status
 from structure_steps import SOURCE
 
@@ -228,7 +228,7 @@
         if len(context.rounds) <= 2:
             raise KeyError("unforeseen")
 
-    context.thread = lasting_thread(loop, "a loop", context.counters)
+    context.thread = supervised_thread(loop, "a loop", context.counters)
 
 
 @then("it continues after each exception, and both are counted")
@@ -248,8 +248,8 @@
         for path in folder.rglob("*.py")
         if "threading.Thread(" in path.read_text(encoding="utf-8")
     ]
-    context.lasting_threads = sum(
-        path.read_text(encoding="utf-8").count(" lasting_thread(")
+    context.supervised_threads = sum(
+        path.read_text(encoding="utf-8").count(" supervised_thread(")
         for folder in folders
         for path in folder.rglob("*.py")
     )
@@ -258,4 +258,4 @@
 @then("all of them continue after an exception")
 def all_threads_continue(context):
     assert not context.plain_threads, context.plain_threads
-    assert context.lasting_threads >= 10, context.lasting_threads
+    assert context.supervised_threads >= 10, context.lasting_threads
--- a/features/steps/framing_steps.py
+++ b/features/steps/framing_steps.py
@@ -224,7 +224,7 @@
     try:
         PlatformSpelling().parse_request(requests[0])
     except AspengateError as failure:
-        assert failure.answer.status == 400, failure
+        assert failure.response.status == 400, failure
     else:
         raise AssertionError(requests[0])
 
--- a/features/steps/losses_steps.py
+++ b/features/steps/losses_steps.py
@@ -137,9 +137,9 @@
 @then("the account's tokens are spent, reserved, idle, held by nobody or lost, and nothing else")
 def statement(context):
     last = context.report.tokens[-1]
-    assert (last.limit, last.spent, last.settled_above) == (10_000, 1_700, 500), last
-    assert (last.reserved, last.idle, last.unheld, last.lost) == (0, 1_000, 6_000, 1_300), last
-    parts = last.spent + last.reserved + last.idle + last.unheld + last.lost
+    assert (last.limit, last.spent, last.charged_to_failed) == (10_000, 1_700, 500), last
+    assert (last.reserved, last.idle, last.unallocated, last.lost) == (0, 1_000, 6_000, 1_300), last
+    parts = last.spent + last.reserved + last.idle + last.unallocated + last.lost
     assert parts == last.limit
     assert "17.0" in context.run.stdout and "13.0" in context.run.stdout, context.run.stdout
 
--- a/features/steps/replica_limit_answers_steps.py
+++ b/features/steps/replica_limit_answers_steps.py
@@ -14,11 +14,11 @@
 
 from aspengate.clock import ManualClock
 from aspengate.errors import ErrorKind
-from aspengate.explanation import read_lines, tell_story
+from aspengate.explanation import read_lines, trace_request
 from aspengate.fleet_permits import FleetPermits, RouterShares, mostly_first
 from aspengate.gateway._attempt import Attempt, AttemptDependencies, RetryableAttemptError
 from aspengate.gateway._permit_client import PermitClient
-from aspengate.losses import cause_of
+from aspengate.losses import describe_end
 from aspengate.peers import PermitReply, PermitUse
 from aspengate.replica_limits import PermitHolders, ReplicaLimiter
 from aspengate.replicas import Replica, ReplicaNotice, ReplicaRegistry, ReportedLimit
@@ -117,10 +117,10 @@
     line = eventually(lambda: context.router.find("request.ended", outcome="at_limit"))
     identity = line["request_id"]
     told = read_lines("router-1", [json.dumps(line) for line in context.router.lines])
-    text = "\n".join(tell_story(identity, told).lines())
+    text = "\n".join(trace_request(identity, told).lines())
     for each in context.portals:
         assert f"replica.limited  replica={each.identity}" in text, text
-    cause = cause_of(identity, told)
+    cause = describe_end(identity, told)
     assert cause.startswith("refused: all replicas have got what their limits allow"), cause
     assert "2 of 2 replicas name limits" in cause, cause
 
--- a/features/steps/replica_statements_steps.py
+++ b/features/steps/replica_statements_steps.py
@@ -12,7 +12,7 @@
 
 from aspengate.clock import ManualClock
 from aspengate.connections import ReplicaAnswer
-from aspengate.explanation import read_lines, tell_story
+from aspengate.explanation import read_lines, trace_request
 from aspengate.gateway._attempt import Attempt, AttemptDependencies, RetryableAttemptError
 from aspengate.replicas import Availability, Replica, ReplicaNotice, ReplicaRegistry
 from aspengate.replicas._reported_state import MAX_BACKOFF_MS
@@ -449,7 +449,7 @@
 @then("the trace of that receipt shows both replicas and the backoffs that they asked for")
 def trace_shows_backoffs(context):
     lines = read_lines("router-1", [json.dumps(line) for line in context.router.lines])
-    text = "\n".join(tell_story("next-receipt", lines).lines())
+    text = "\n".join(trace_request("next-receipt", lines).lines())
     for each, asked_ms in zip(context.fleet.of("portal"), (3_000, 60_000), strict=True):
         assert f"replica.rests  replica={each.identity}" in text, text
         assert f"asked_ms={asked_ms}" in text, text
--- a/features/steps/restored_store_steps.py
+++ b/features/steps/restored_store_steps.py
@@ -12,7 +12,7 @@
 
 from aspengate.clock import SystemClock
 from aspengate.crashes import RECORD_PREFIX
-from aspengate.explanation import read_lines, tell_story
+from aspengate.explanation import read_lines, trace_request
 from aspengate.platform import PlatformStore
 from crashes_steps import get_status
 from gateway_prepaid_steps import EVENTS, produced_tokens, send_request, spend
@@ -214,7 +214,7 @@
 def trace_shows_restore(context):
     ended = eventually(lambda: context.router.find("request.ended", status=401))
     lines = [json.dumps(line) for line in context.router.lines]
-    trace = "\n".join(tell_story(ended["request_id"], read_lines("router-1", lines)).lines())
+    trace = "\n".join(trace_request(ended["request_id"], read_lines("router-1", lines)).lines())
     assert "store.era  era=2 before=1" in trace, trace
     assert "store.restored  prefix=op/" in trace and "kept=['op/config']" in trace, trace
 
--- a/src/aspengate/cli/_explain.py
+++ b/src/aspengate/cli/_explain.py
@@ -9,8 +9,8 @@
 import cappa
 
 from aspengate.errors import AspengateError, ErrorKind
-from aspengate.explanation import LogLine, read_lines, tell_story
-from aspengate.losses import cause_of
+from aspengate.explanation import LogLine, read_lines, trace_request
+from aspengate.losses import describe_end
 
 
 @cappa.command(description="Tell what happened to one request, from the logs of routers.")
@@ -24,7 +24,10 @@
     def __call__(self) -> None:
         """Print the story; exit 1 where no log speaks of the request."""
         lines = read_logs(self.logs)
-        told = [*tell_story(self.request_id, lines).lines(), cause_of(self.request_id, lines)]
+        told = [
+            *trace_request(self.request_id, lines).lines(),
+            describe_end(self.request_id, lines),
+        ]
         sys.stdout.write("\n".join(each for each in told if each) + "\n")
 
 
--- a/src/aspengate/cli/_pages.py
+++ b/src/aspengate/cli/_pages.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from aspengate.agent import AgentSettings
-from aspengate.errors import ANSWERS, ErrorKind
+from aspengate.errors import ERROR_RESPONSES, ErrorKind
 from aspengate.experiments import capacity_page, read_sweeps
 from aspengate.gateway import GatewaySettings
 from aspengate.router import RouterSettings
@@ -98,7 +98,7 @@
         "| code | HTTP status | run_state | Retry-After, s | meaning |",
         "|---|--:|---|--:|---|",
     ]
-    for kind, answer in ANSWERS.items():
+    for kind, answer in ERROR_RESPONSES.items():
         retry = "-" if answer.retry_after_s is None else str(answer.retry_after_s)
         lines.append(
             f"| {kind.value} | {answer.status} | {answer.run_state.value} | {retry} "
--- a/src/aspengate/deployed.py
+++ b/src/aspengate/deployed.py
@@ -13,7 +13,7 @@
 from aspengate.serving import WsgiServer
 from aspengate.settings import load_settings
 from aspengate.telemetry import BackgroundLog, log_change
-from aspengate.telemetry._metrics import MetricsApplication, ScrapedCounters
+from aspengate.telemetry._metrics import MetricsApplication, PrometheusCounters
 
 SETTINGS_VARIABLE = "ASPENGATE_BOOT"
 UNNAMED_BUILD = "unnamed"
@@ -43,7 +43,7 @@
     log = BackgroundLog(sys.stdout)
     log.start()
     clock = SystemClock()
-    counters = ScrapedCounters()
+    counters = PrometheusCounters()
     deployment = PlatformDeployment(settings.store, settings.store_timeout_ms, clock)
     gateway = Gateway(settings, deployment, clock, counters, build)
     metrics = _serve_metrics(settings, counters, gateway, log)
@@ -103,11 +103,11 @@
 
 
 def _serve_metrics(
-    settings: GatewaySettings, counters: ScrapedCounters, gateway: Gateway, log: BackgroundLog
+    settings: GatewaySettings, counters: PrometheusCounters, gateway: Gateway, log: BackgroundLog
 ) -> WsgiServer | None:
     if not settings.metrics_listen:
         return None
-    counters.gauges = lambda: {**gateway.gauges(), "log_lines_dropped": log.dropped}
+    counters.gauge_source = lambda: {**gateway.gauges(), "log_lines_dropped": log.dropped}
     server = WsgiServer(
         MetricsApplication(counters), settings.metrics_listen, _METRICS_THREADS, _SMALL_BODY
     )
--- a/src/aspengate/errors/_error.py
+++ b/src/aspengate/errors/_error.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from aspengate.errors._kinds import ANSWERS, ErrorAnswer, ErrorKind
+from aspengate.errors._kinds import ERROR_RESPONSES, ErrorKind, ErrorResponse
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
@@ -37,23 +37,23 @@
         self._retry_after_s = retry_after_s
 
     @property
-    def answer(self) -> ErrorAnswer:
+    def response(self) -> ErrorResponse:
         """The HTTP answer to this error's kind."""
-        return ANSWERS[self.kind]
+        return ERROR_RESPONSES[self.kind]
 
     @property
     def retry_after_s(self) -> float | None:
         """When a retry may help, in seconds; None where none does."""
         if self._retry_after_s is not None:
             return self._retry_after_s
-        return self.answer.retry_after_s
+        return self.response.retry_after_s
 
     def body(self, request_id: str = "") -> ErrorBody:
         """Return what a caller is told about this error."""
         return ErrorBody(
             code=self.kind.value,
             message=str(self),
-            run_state=self.answer.run_state.value,
+            run_state=self.response.run_state.value,
             request_id=request_id,
         )
 
--- a/src/aspengate/errors/_kinds.py
+++ b/src/aspengate/errors/_kinds.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True)
-class ErrorAnswer:
+class ErrorResponse:
     """The HTTP answer to one kind of error.
 
     ``retry_after_s`` is in seconds; ``None`` means that a retry does not help, 0 that it helps at
@@ -56,31 +56,31 @@
     retry_after_s: int | None = None
 
 
-ANSWERS: dict[ErrorKind, ErrorAnswer] = {
-    ErrorKind.BAD_REQUEST: ErrorAnswer(400, RunState.NOT_RUN),
-    ErrorKind.UNAUTHENTICATED: ErrorAnswer(401, RunState.NOT_RUN),
-    ErrorKind.FORBIDDEN: ErrorAnswer(403, RunState.NOT_RUN),
-    ErrorKind.NOT_FOUND: ErrorAnswer(404, RunState.NOT_RUN),
-    ErrorKind.TOO_LARGE: ErrorAnswer(413, RunState.NOT_RUN),
-    ErrorKind.CONFLICT: ErrorAnswer(412, RunState.NOT_RUN),
-    ErrorKind.RATE_LIMITED: ErrorAnswer(429, RunState.NOT_RUN, retry_after_s=1),
-    ErrorKind.BUDGET_EXHAUSTED: ErrorAnswer(402, RunState.NOT_RUN),
-    ErrorKind.BUDGET_UNAVAILABLE: ErrorAnswer(503, RunState.NOT_RUN, retry_after_s=5),
-    ErrorKind.NOT_CONFIGURED: ErrorAnswer(503, RunState.NOT_RUN, retry_after_s=1),
-    ErrorKind.NO_UPSTREAM: ErrorAnswer(503, RunState.NOT_RUN, retry_after_s=2),
-    ErrorKind.OVERLOADED: ErrorAnswer(503, RunState.NOT_RUN, retry_after_s=2),
-    ErrorKind.WARMING_UP: ErrorAnswer(503, RunState.NOT_RUN, retry_after_s=1),
-    ErrorKind.RESTING: ErrorAnswer(503, RunState.NOT_RUN, retry_after_s=1),
-    ErrorKind.AT_LIMIT: ErrorAnswer(503, RunState.NOT_RUN, retry_after_s=1),
-    ErrorKind.SUSPECTED: ErrorAnswer(503, RunState.NOT_RUN, retry_after_s=2),
-    ErrorKind.QUARANTINED: ErrorAnswer(503, RunState.NOT_RUN, retry_after_s=60),
-    ErrorKind.DEADLINE_EXCEEDED: ErrorAnswer(504, RunState.NOT_RUN),
-    ErrorKind.LEAVING: ErrorAnswer(503, RunState.NOT_RUN, retry_after_s=0),
-    ErrorKind.FENCED: ErrorAnswer(503, RunState.NOT_RUN, retry_after_s=1),
-    ErrorKind.UPSTREAM_FAILED: ErrorAnswer(502, RunState.RAN),
-    ErrorKind.CLAIM_UNAVAILABLE: ErrorAnswer(503, RunState.UNKNOWN, retry_after_s=2),
-    ErrorKind.OUTCOME_UNKNOWN: ErrorAnswer(504, RunState.UNKNOWN),
-    ErrorKind.STORE_UNAVAILABLE: ErrorAnswer(503, RunState.NOT_RUN, retry_after_s=5),
-    ErrorKind.CALLER_GONE: ErrorAnswer(499, RunState.UNKNOWN),
-    ErrorKind.INTERNAL: ErrorAnswer(500, RunState.UNKNOWN),
+ERROR_RESPONSES: dict[ErrorKind, ErrorResponse] = {
+    ErrorKind.BAD_REQUEST: ErrorResponse(400, RunState.NOT_RUN),
+    ErrorKind.UNAUTHENTICATED: ErrorResponse(401, RunState.NOT_RUN),
+    ErrorKind.FORBIDDEN: ErrorResponse(403, RunState.NOT_RUN),
+    ErrorKind.NOT_FOUND: ErrorResponse(404, RunState.NOT_RUN),
+    ErrorKind.TOO_LARGE: ErrorResponse(413, RunState.NOT_RUN),
+    ErrorKind.CONFLICT: ErrorResponse(412, RunState.NOT_RUN),
+    ErrorKind.RATE_LIMITED: ErrorResponse(429, RunState.NOT_RUN, retry_after_s=1),
+    ErrorKind.BUDGET_EXHAUSTED: ErrorResponse(402, RunState.NOT_RUN),
+    ErrorKind.BUDGET_UNAVAILABLE: ErrorResponse(503, RunState.NOT_RUN, retry_after_s=5),
+    ErrorKind.NOT_CONFIGURED: ErrorResponse(503, RunState.NOT_RUN, retry_after_s=1),
+    ErrorKind.NO_UPSTREAM: ErrorResponse(503, RunState.NOT_RUN, retry_after_s=2),
+    ErrorKind.OVERLOADED: ErrorResponse(503, RunState.NOT_RUN, retry_after_s=2),
+    ErrorKind.WARMING_UP: ErrorResponse(503, RunState.NOT_RUN, retry_after_s=1),
+    ErrorKind.RESTING: ErrorResponse(503, RunState.NOT_RUN, retry_after_s=1),
+    ErrorKind.AT_LIMIT: ErrorResponse(503, RunState.NOT_RUN, retry_after_s=1),
+    ErrorKind.SUSPECTED: ErrorResponse(503, RunState.NOT_RUN, retry_after_s=2),
+    ErrorKind.QUARANTINED: ErrorResponse(503, RunState.NOT_RUN, retry_after_s=60),
+    ErrorKind.DEADLINE_EXCEEDED: ErrorResponse(504, RunState.NOT_RUN),
+    ErrorKind.LEAVING: ErrorResponse(503, RunState.NOT_RUN, retry_after_s=0),
+    ErrorKind.FENCED: ErrorResponse(503, RunState.NOT_RUN, retry_after_s=1),
+    ErrorKind.UPSTREAM_FAILED: ErrorResponse(502, RunState.RAN),
+    ErrorKind.CLAIM_UNAVAILABLE: ErrorResponse(503, RunState.UNKNOWN, retry_after_s=2),
+    ErrorKind.OUTCOME_UNKNOWN: ErrorResponse(504, RunState.UNKNOWN),
+    ErrorKind.STORE_UNAVAILABLE: ErrorResponse(503, RunState.NOT_RUN, retry_after_s=5),
+    ErrorKind.CALLER_GONE: ErrorResponse(499, RunState.UNKNOWN),
+    ErrorKind.INTERNAL: ErrorResponse(500, RunState.UNKNOWN),
 }
--- a/src/aspengate/explanation/_story.py
+++ b/src/aspengate/explanation/_trace.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True)
-class RequestStory:
+class RequestTrace:
     """The ends of one request, and the changes around them, each in order of time."""
 
     request_id: str
@@ -57,7 +57,7 @@
         return unknown
 
 
-def tell_story(request_id: str, lines: Iterable[LogLine]) -> RequestStory:
+def trace_request(request_id: str, lines: Iterable[LogLine]) -> RequestTrace:
     """Return a request's story; raises NOT_FOUND where no line speaks of it.
 
     Around its ends stand the changes of the ten seconds before that touch what decided: the
@@ -69,7 +69,7 @@
     if not ends:
         raise AspengateError(ErrorKind.NOT_FOUND, "no log speaks of this request", where=request_id)
     around = tuple(line for line in listed if any(_touches(line, end) for end in ends))
-    return RequestStory(request_id, ends, around)
+    return RequestTrace(request_id, ends, around)
 
 
 def _is_about_content(line: LogLine, end: LogLine) -> bool:
--- a/src/aspengate/gateway/_application.py
+++ b/src/aspengate/gateway/_application.py
@@ -137,7 +137,7 @@
         if self.caller.started:
             self.caller.cut()
             return
-        self.progress.status = error.answer.status
+        self.progress.status = error.response.status
         body = msgspec.json.encode({"error": error.body(self.request_id)})
         headers = [
             ("Content-Type", "application/json"),
@@ -145,7 +145,7 @@
         ]
         if error.retry_after_s is not None:
             headers.append(("Retry-After", f"{math.ceil(error.retry_after_s * 10) / 10:g}"))
-        self.caller.answer(error.answer.status, error.kind.value, headers, body)
+        self.caller.answer(error.response.status, error.kind.value, headers, body)
 
 
 def _event_tokens(exchange: Exchange) -> int:
@@ -160,7 +160,7 @@
     An error whose kind means "not run" becomes OUTCOME_UNKNOWN if the request may have run, and one
     whose kind means that it may have run becomes OVERLOADED if it was never sent.
     """
-    says_not_run = error.answer.run_state is RunState.NOT_RUN
+    says_not_run = error.response.run_state is RunState.NOT_RUN
     if progress.may_have_run and says_not_run:
         return AspengateError(ErrorKind.OUTCOME_UNKNOWN, str(error))
     if not progress.may_have_run and error.kind in _IMPLIES_SENT:
--- a/src/aspengate/gateway/_crash_records.py
+++ b/src/aspengate/gateway/_crash_records.py
@@ -23,7 +23,7 @@
     StoreItem,
     era_of,
 )
-from aspengate.telemetry import Counters, lasting_thread, log_change
+from aspengate.telemetry import Counters, log_change, supervised_thread
 
 # Delay before a failed change of a record is retried, in ms. No request waits for it: until then
 # the trial counts as in progress.
@@ -104,7 +104,7 @@
         self._lock = threading.Lock()
         self._has_changes = threading.Event()
         self._closing = threading.Event()
-        self._thread = lasting_thread(self._run, "crash-records", counters)
+        self._thread = supervised_thread(self._run, "crash-records", counters)
 
     def start(self) -> None:
         """Start to make changes."""
--- a/src/aspengate/gateway/_daemon.py
+++ b/src/aspengate/gateway/_daemon.py
@@ -47,7 +47,7 @@
 from aspengate.retries import RetryPolicy, SharedRetryBudget
 from aspengate.serving import RelayServer, WsgiServer
 from aspengate.store import number_of
-from aspengate.telemetry import Counters, lasting_thread, log_change
+from aspengate.telemetry import Counters, log_change, supervised_thread
 
 _READY_THREADS = 2
 _MAX_IDLE_CONNECTION_MS = 6_000.0
@@ -143,7 +143,7 @@
         self.holder.on_change(self._apply_configuration)
         self._suspension = SuspensionDetector(clock, counters, deployment.store.abort_watches)
         self._closing = threading.Event()
-        self._ticker = lasting_thread(self._tick, "ticker", counters)
+        self._ticker = supervised_thread(self._tick, "ticker", counters)
 
     def start(self) -> None:
         """Start to serve requests."""
--- a/src/aspengate/gateway/_mirror_sharing.py
+++ b/src/aspengate/gateway/_mirror_sharing.py
@@ -23,7 +23,7 @@
     era_of,
     number_of,
 )
-from aspengate.telemetry import Counters, lasting_thread, log_change
+from aspengate.telemetry import Counters, log_change, supervised_thread
 
 # Time in ms that a router waits for its own watch or its leader to deliver a change before it
 # fetches the change from the peer that announced it.
@@ -71,7 +71,7 @@
         self._outdated: dict[str, tuple[str, int]] = {}
         self._wake_event = threading.Event()
         self._closing = threading.Event()
-        self._thread = lasting_thread(self._run, "peers-fetch", counters)
+        self._thread = supervised_thread(self._run, "peers-fetch", counters)
 
     @property
     def reaches_store(self) -> bool:
--- a/src/aspengate/gateway/_peering.py
+++ b/src/aspengate/gateway/_peering.py
@@ -53,7 +53,7 @@
     era_of,
     number_of,
 )
-from aspengate.telemetry import Counters, lasting_thread, log_change
+from aspengate.telemetry import Counters, log_change, supervised_thread
 
 # Average interval between the calls of different routers that register again, in ms.
 _REREGISTRATION_INTERVAL_MS = 10.0
@@ -169,8 +169,8 @@
         self._beat = threading.Event()
         self._closing = threading.Event()
         self._list_tried = threading.Event()
-        self._thread = lasting_thread(self._run_heartbeats, "peers-send", counters)
-        self._list_thread = lasting_thread(self._run_registration, "peers-list", counters)
+        self._thread = supervised_thread(self._run_heartbeats, "peers-send", counters)
+        self._list_thread = supervised_thread(self._run_registration, "peers-list", counters)
 
     @property
     def reaches_store(self) -> bool:
--- a/src/aspengate/gateway/_store_probe.py
+++ b/src/aspengate/gateway/_store_probe.py
@@ -6,7 +6,7 @@
 from aspengate.clock import Clock
 from aspengate.errors import AspengateError
 from aspengate.store import KeyValueStore
-from aspengate.telemetry import Counters, lasting_thread
+from aspengate.telemetry import Counters, supervised_thread
 
 # A leader probes the store after this time without a response, in ms. Together with two unanswered
 # calls (700 ms at most while the store is fast) and the takeover by another router (400 ms at most)
@@ -35,7 +35,7 @@
         self._counters = counters
         self._is_needed = is_needed
         self._closing = threading.Event()
-        self._thread = lasting_thread(self._run, "store-probe", counters)
+        self._thread = supervised_thread(self._run, "store-probe", counters)
 
     def start(self) -> None:
         """Start probing."""
--- a/src/aspengate/gateway/prepaid/_loans.py
+++ b/src/aspengate/gateway/prepaid/_loans.py
@@ -10,7 +10,7 @@
 
 from aspengate.clock import Clock
 from aspengate.peers import PENDING, LoanReply, LoanRequest, Member, Repayment, RepaymentReply
-from aspengate.telemetry import Counters, lasting_thread, log_change
+from aspengate.telemetry import Counters, log_change, supervised_thread
 
 _REPEAT_INTERVAL_MS = 40.0
 _REPLY_TIMEOUT_MS = 200.0
@@ -157,7 +157,7 @@
         self._suspects: dict[str, float] = {}
         self._changed = threading.Condition()
         self._closing = False
-        self._thread = lasting_thread(self._run, "loans", counters)
+        self._thread = supervised_thread(self._run, "loans", counters)
 
     def start(self) -> None:
         """Start the thread that repeats unanswered messages."""
--- a/src/aspengate/gateway/prepaid/_witness.py
+++ b/src/aspengate/gateway/prepaid/_witness.py
@@ -13,7 +13,7 @@
 
 from aspengate.clock import Clock
 from aspengate.peers import CeilingNotice, CeilingReply, Member
-from aspengate.telemetry import Counters, lasting_thread, log_change
+from aspengate.telemetry import Counters, log_change, supervised_thread
 
 _REPEAT_INTERVAL_MS = 30.0
 _REPLY_TIMEOUT_MS = 400.0
@@ -131,7 +131,7 @@
         self._waiting_since_ms: float | None = None
         self._changed = threading.Condition()
         self._closing = False
-        self._thread = lasting_thread(self._run, "witness", counters)
+        self._thread = supervised_thread(self._run, "witness", counters)
 
     def start(self) -> None:
         """Start the thread that sends ceilings."""
--- a/src/aspengate/losses/__init__.py
+++ b/src/aspengate/losses/__init__.py
@@ -1,10 +1,10 @@
 """What requests lost their worth by, and where an account's tokens went, from routers' logs."""
 
-from aspengate.losses._cause import cause_of
-from aspengate.losses._reasons import Loss, loss_of
+from aspengate.losses._cause import describe_end
+from aspengate.losses._reasons import Loss, classify_loss
 from aspengate.losses._report import LossReport, report_losses
 from aspengate.losses._requests import LossTable, RequestEnd, read_ends
-from aspengate.losses._tokens import TokenStatement, statements
+from aspengate.losses._tokens import TokenStatement, token_statements
 
 __all__ = [
     "Loss",
@@ -12,9 +12,9 @@
     "LossTable",
     "RequestEnd",
     "TokenStatement",
-    "cause_of",
-    "loss_of",
+    "classify_loss",
+    "describe_end",
     "read_ends",
     "report_losses",
-    "statements",
+    "token_statements",
 ]
--- a/src/aspengate/losses/_cause.py
+++ b/src/aspengate/losses/_cause.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable, Iterable
 
 from aspengate.explanation import LogLine
-from aspengate.losses._reasons import Loss, loss_of
-from aspengate.losses._tokens import statements
+from aspengate.losses._reasons import Loss, classify_loss
+from aspengate.losses._tokens import token_statements
 
 _END = "request.ended"
 _FOREVER_S = 1e9
@@ -12,7 +12,7 @@
 _LONG_TOKENS = 4_000
 
 
-def cause_of(request_id: str, lines: Iterable[LogLine]) -> str:
+def describe_end(request_id: str, lines: Iterable[LogLine]) -> str:
     """Return why a request ended as it did at the last router that speaks of it.
 
     Empty where no line tells of its end.
@@ -26,7 +26,7 @@
     if not ends:
         return ""
     end = ends[-1]
-    loss = loss_of(end.fields)
+    loss = classify_loss(end.fields)
     if loss is None:
         return f"served in time by {end.machine}"
     tell = _TELLERS.get(loss, _plainly)
@@ -37,7 +37,7 @@
     """Return where the account's tokens were when the request was refused."""
     before = [line for line in lines if line.time_s <= end.time_s]
     account = str(end.fields.get("account"))
-    found = [each for each in statements(before, _FOREVER_S) if each.account == account]
+    found = [each for each in token_statements(before, _FOREVER_S) if each.account == account]
     asked = end.fields.get("tokens")
     if not found:
         return f"{account} needs {asked} tokens; no router told of its account"
@@ -47,7 +47,7 @@
         f"{account} needs {asked}; of its {told.limit} tokens {100 * told.spent / limit:.0f}% were "
         f"spent, {100 * told.reserved / limit:.0f}% reserved by requests in progress, "
         f"{100 * told.idle / limit:.0f}% idle at routers, "
-        f"{100 * told.unheld / limit:.0f}% held by nobody, {100 * told.lost / limit:.0f}% lost"
+        f"{100 * told.unallocated / limit:.0f}% held by nobody, {100 * told.lost / limit:.0f}% lost"
     )
 
 
--- a/src/aspengate/losses/_reasons.py
+++ b/src/aspengate/losses/_reasons.py
@@ -53,7 +53,7 @@
 _LEAST_FAILURE_STATUS = 400
 
 
-def loss_of(fields: Mapping[str, Any]) -> Loss | None:
+def classify_loss(fields: Mapping[str, Any]) -> Loss | None:
     """Return why the request of a ``request.ended`` line lost worth; None where it did not."""
     outcome = str(fields.get("outcome", ""))
     if outcome != _ANSWERED:
--- a/src/aspengate/losses/_report.py
+++ b/src/aspengate/losses/_report.py
@@ -6,9 +6,9 @@
 
 from aspengate.explanation import LogLine
 from aspengate.losses._reasons import Loss
-from aspengate.losses._requests import LossTable, RequestEnd, read_ends, table_by
+from aspengate.losses._requests import LossTable, RequestEnd, group_losses, read_ends
 from aspengate.losses._store_calls import count_store_calls
-from aspengate.losses._tokens import TokenStatement, statements
+from aspengate.losses._tokens import TokenStatement, token_statements
 
 _COLUMN_WIDTH = 11
 _NAME_WIDTH = 16
@@ -43,14 +43,14 @@
         return f"{since_s:8.0f} s"
 
     tables = (
-        table_by("seconds since the first line", ends, moment),
-        table_by("service", ends, lambda end: end.service),
-        table_by("account", ends, lambda end: end.account),
-        table_by("replica", ends, lambda end: end.replica),
-        table_by("router", ends, lambda end: end.router),
+        group_losses("seconds since the first line", ends, moment),
+        group_losses("service", ends, lambda end: end.service),
+        group_losses("account", ends, lambda end: end.account),
+        group_losses("replica", ends, lambda end: end.replica),
+        group_losses("router", ends, lambda end: end.router),
     )
     return LossReport(
-        tuple(ends), tables, tuple(statements(listed, step_s)), count_store_calls(listed)
+        tuple(ends), tables, tuple(token_statements(listed, step_s)), count_store_calls(listed)
     )
 
 
@@ -94,8 +94,8 @@
         limit = max(1, each.limit)
         told.append(
             f"{each.time_s - origin_s:8.1f}  {each.account:{_NAME_WIDTH}}{each.limit:11}"
-            f"{100 * each.spent / limit:7.1f}{100 * each.settled_above / limit:14.1f}"
+            f"{100 * each.spent / limit:7.1f}{100 * each.charged_to_failed / limit:14.1f}"
             f"{100 * each.reserved / limit:10.1f}{100 * each.idle / limit:6.1f}"
-            f"{100 * each.unheld / limit:8.1f}{100 * each.lost / limit:7.1f}"
+            f"{100 * each.unallocated / limit:8.1f}{100 * each.lost / limit:7.1f}"
         )
     return told
--- a/src/aspengate/losses/_requests.py
+++ b/src/aspengate/losses/_requests.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from aspengate.explanation import LogLine
-from aspengate.losses._reasons import Loss, loss_of
+from aspengate.losses._reasons import Loss, classify_loss
 
 _END = "request.ended"
 
@@ -43,7 +43,7 @@
     return sorted(ends, key=lambda end: end.time_s)
 
 
-def table_by(
+def group_losses(
     title: str, ends: Iterable[RequestEnd], property_of: Callable[[RequestEnd], str]
 ) -> LossTable:
     """Return the losses of requests by one of their properties; an empty value has no row."""
@@ -71,5 +71,5 @@
         replica=str(attempts[-1].get("replica") or ""),
         tokens=int(fields.get("tokens") or 0),
         folded=int(fields.get("folded") or 0),
-        loss=loss_of(fields),
+        loss=classify_loss(fields),
     )
--- a/src/aspengate/losses/_tokens.py
+++ b/src/aspengate/losses/_tokens.py
@@ -17,10 +17,11 @@
 
 @dataclass(frozen=True)
 class TokenStatement:
-    """One account's tokens at one time, in tokens; all parts but ``settled_above`` make ``limit``.
+    """Holds how the tokens of one account were distributed at one time.
 
-    ``settled_above`` is the part of ``spent`` that requests were charged beyond a whole answer:
-    runs that broke off and are counted at their most.
+    ``spent``, ``reserved``, ``idle``, ``unallocated`` and ``lost`` add up to ``limit``.
+    ``charged_to_failed`` is the part of ``spent`` that was charged to requests without a complete
+    response, which are charged their upper bound. All amounts are in tokens.
     """
 
     account: str
@@ -29,9 +30,9 @@
     spent: int
     reserved: int
     idle: int
-    unheld: int
+    unallocated: int
     lost: int
-    settled_above: int
+    charged_to_failed: int
 
 
 @dataclass
@@ -49,8 +50,8 @@
     """What is known of an account while its lines are read in order of time."""
 
     limit: int = 0
-    unheld: int = 0
-    settled_above: int = 0
+    unallocated: int = 0
+    charged_to_failed: int = 0
     charged: int = 0
     sessions: dict[str, _Session] = field(default_factory=dict)
 
@@ -61,13 +62,21 @@
         spent = max(told, self.charged)
         reserved = max(0, sum(each.reserved for each in living) - (spent - told))
         idle = sum(each.idle for each in living)
-        lost = self.limit - spent - reserved - idle - self.unheld
+        lost = self.limit - spent - reserved - idle - self.unallocated
         return TokenStatement(
-            name, time_s, self.limit, spent, reserved, idle, self.unheld, lost, self.settled_above
+            name,
+            time_s,
+            self.limit,
+            spent,
+            reserved,
+            idle,
+            self.unallocated,
+            lost,
+            self.charged_to_failed,
         )
 
 
-def statements(lines: Iterable[LogLine], step_s: float) -> list[TokenStatement]:
+def token_statements(lines: Iterable[LogLine], step_s: float) -> list[TokenStatement]:
     """Return each account's statement every ``step_s`` seconds, and at the end of the lines."""
     ordered = sorted(lines, key=lambda line: line.time_s)
     accounts: dict[str, _Account] = {}
@@ -98,7 +107,7 @@
     settled = int(line.fields.get("settled") or 0)
     account.charged += settled
     if line.fields.get("outcome") != "answered":
-        account.settled_above += settled
+        account.charged_to_failed += settled
 
 
 def _read_told(line: LogLine, account: _Account) -> None:
@@ -113,4 +122,4 @@
     told.reserved = int(fields["reserved"])
     told.idle = int(fields["idle"])
     account.limit = int(fields["limit"])
-    account.unheld = int(fields["unheld"])
+    account.unallocated = int(fields["unheld"])
--- a/src/aspengate/peers/_datagrams.py
+++ b/src/aspengate/peers/_datagrams.py
@@ -9,7 +9,7 @@
 
 from aspengate.peers._messages import Datagram
 from aspengate.store import DECODE_ERRORS
-from aspengate.telemetry import Counters, lasting_thread, log_change
+from aspengate.telemetry import Counters, log_change, supervised_thread
 
 _MAX_DATAGRAM_BYTES = 64 * 1024
 _RECEIVE_RETRY_S = 0.1
@@ -37,7 +37,7 @@
         self._on_datagram = on_datagram
         self._logged_kinds: set[str] = set()
         self._closing = threading.Event()
-        self._thread = lasting_thread(self._run, "datagrams", counters)
+        self._thread = supervised_thread(self._run, "datagrams", counters)
 
     def start(self) -> None:
         """Start to receive messages."""
--- a/src/aspengate/peers/_notices.py
+++ b/src/aspengate/peers/_notices.py
@@ -6,7 +6,7 @@
 
 from aspengate.clock import Clock
 from aspengate.peers._messages import CrashNotice, LimitNotice, LimitWord, LostRun
-from aspengate.telemetry import Counters, lasting_thread
+from aspengate.telemetry import Counters, supervised_thread
 
 # Delays in ms after which a notice is sent. The first copy is sent at once, since this router may
 # crash as well: its peers then have the notice within some ms. The others replace lost datagrams.
@@ -47,7 +47,7 @@
         self._lock = threading.Lock()
         self._wakeup = threading.Event()
         self._closing = threading.Event()
-        self._thread = lasting_thread(self._run, name, counters)
+        self._thread = supervised_thread(self._run, name, counters)
 
     def start(self) -> None:
         """Start to send notices."""
--- a/src/aspengate/peers/_placements.py
+++ b/src/aspengate/peers/_placements.py
@@ -8,7 +8,7 @@
 from aspengate.peers._leadership import DomainLeadership
 from aspengate.peers._members import Member, MemberList
 from aspengate.peers._messages import PlacedRequest, Placements, PlacementScope
-from aspengate.telemetry import Counters, lasting_thread
+from aspengate.telemetry import Counters, supervised_thread
 
 # Time in s for which placements are collected before they are sent. They pass through two or three
 # routers, so that all routers have them after 100 ms, a fifth of a usual time to first token.
@@ -58,7 +58,7 @@
         self._lock = threading.Lock()
         self._wakeup = threading.Event()
         self._closing = threading.Event()
-        self._thread = lasting_thread(self._run, "placements", counters)
+        self._thread = supervised_thread(self._run, "placements", counters)
 
     def start(self) -> None:
         """Start to send batches."""
--- a/src/aspengate/router/_http.py
+++ b/src/aspengate/router/_http.py
@@ -179,11 +179,11 @@
         body = msgspec.structs.replace(body, run_state=RunState.UNKNOWN.value)
     encoded = msgspec.json.encode({"error": body})
     headers = [("Content-Type", "application/json"), ("Content-Length", str(len(encoded)))]
-    if error.answer.retry_after_s is not None:
-        headers.append(("Retry-After", str(error.answer.retry_after_s)))
+    if error.response.retry_after_s is not None:
+        headers.append(("Retry-After", str(error.response.retry_after_s)))
     if request_id:
         headers.append(("X-Request-Id", request_id))
-    start_response(_status_line(error.answer.status), headers)
+    start_response(_status_line(error.response.status), headers)
     return [encoded]
 
 
--- a/src/aspengate/router/_pipeline.py
+++ b/src/aspengate/router/_pipeline.py
@@ -153,14 +153,14 @@
 
 def _after_loss(failure: _PassError) -> _PassError:
     """Return a failure that does not say ``not_run``, since the lost attempt may have run."""
-    if failure.cause.answer.run_state is not RunState.NOT_RUN:
+    if failure.cause.response.run_state is not RunState.NOT_RUN:
         return failure
     message = f"an attempt was lost, and then: {failure.cause}"
     return _PassError(failure.exchange, AspengateError(ErrorKind.OUTCOME_UNKNOWN, message))
 
 
 def _outcome_of(error: AspengateError) -> Outcome:
-    not_run = error.answer.run_state is RunState.NOT_RUN
+    not_run = error.response.run_state is RunState.NOT_RUN
     return Outcome(error=error.kind.value, not_run=not_run)
 
 
--- a/src/aspengate/settings/_loader.py
+++ b/src/aspengate/settings/_loader.py
@@ -22,7 +22,7 @@
     parse: Callable[[str], Any]
     accepts: str
     unit: str
-    text: str
+    description: str
     default: Any
 
 
@@ -72,7 +72,7 @@
             parse=field.metadata["parse"],
             accepts=field.metadata["accepts"],
             unit=field.metadata["unit"],
-            text=field.metadata["text"],
+            description=field.metadata["text"],
             default=field.default,
         )
         for field in dataclasses.fields(settings_type)
@@ -116,7 +116,7 @@
         default = "needed" if field.default is dataclasses.MISSING else f"`{_shown(field)}`"
         lines.append(
             f"| {field.section} | {field.key} | {field.accepts} | {field.unit or '-'} "
-            f"| {default} | {field.text} |"
+            f"| {default} | {field.description} |"
         )
     return "\n".join(lines) + "\n"
 
--- a/src/aspengate/store/_mirror.py
+++ b/src/aspengate/store/_mirror.py
@@ -19,7 +19,7 @@
 )
 from aspengate.store._revision import era_of, number_of
 from aspengate.store._unconfirmed import UnconfirmedItems, WriterOrder, no_order
-from aspengate.telemetry import Counters, lasting_thread, log_change
+from aspengate.telemetry import Counters, log_change, supervised_thread
 
 _INITIAL_BACKOFF_MS = 50.0
 _MAX_BACKOFF_MS = 1_500.0
@@ -127,7 +127,7 @@
         self._removals_since = 0
         self._wake = threading.Event()
         self._closing = threading.Event()
-        self._thread = lasting_thread(self._run, f"mirror-{prefix}", counters)
+        self._thread = supervised_thread(self._run, f"mirror-{prefix}", counters)
 
     def start(self) -> None:
         """Start the mirror's thread."""
--- a/src/aspengate/telemetry/__init__.py
+++ b/src/aspengate/telemetry/__init__.py
@@ -3,14 +3,14 @@
 from aspengate.telemetry._background_log import BackgroundLog
 from aspengate.telemetry._counters import Counters, NullCounters, StatsdCounters
 from aspengate.telemetry._log import log_change, log_to_stream
-from aspengate.telemetry._threads import lasting_thread
+from aspengate.telemetry._threads import supervised_thread
 
 __all__ = [
     "BackgroundLog",
     "Counters",
     "NullCounters",
     "StatsdCounters",
-    "lasting_thread",
     "log_change",
     "log_to_stream",
+    "supervised_thread",
 ]
--- a/src/aspengate/telemetry/_metrics.py
+++ b/src/aspengate/telemetry/_metrics.py
@@ -12,17 +12,17 @@
 GaugeSource = Callable[[], Mapping[str, float]]
 
 
-class ScrapedCounters:
-    """Counters and histograms of this process; ``page`` is what a scraper reads.
+class PrometheusCounters:
+    """Counters and histograms of this process; ``render`` returns what a scraper reads.
 
     Events are counted under ``aspengate_events_total`` and durations, in milliseconds, under
-    ``aspengate_duration_milliseconds``, each with its name as a label. ``gauges`` is asked at
+    ``aspengate_duration_milliseconds``, each with its name as a label. ``gauge_source`` is asked at
     each scrape for what holds at that moment, under ``aspengate_state``.
     """
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
-        self.gauges: GaugeSource = dict
+        self.gauge_source: GaugeSource = dict
         self._events = Counter(
             "aspengate_events", "Events by name", ["event"], registry=self.registry
         )
@@ -43,7 +43,7 @@
         """Record a duration, in milliseconds, under ``name``."""
         self._durations.labels(name).observe(duration_ms)
 
-    def page(self) -> bytes:
+    def render(self) -> bytes:
         """Return all figures as text."""
         return generate_latest(self.registry)
 
@@ -51,13 +51,13 @@
 class _StateCollector:
     """Asks for the gauges at each scrape."""
 
-    def __init__(self, counters: ScrapedCounters) -> None:
+    def __init__(self, counters: PrometheusCounters) -> None:
         self._counters = counters
 
     def collect(self) -> Iterable[GaugeMetricFamily]:
         """Yield the gauges as they stand."""
         family = GaugeMetricFamily("aspengate_state", "What holds now, by name", labels=["what"])
-        for name, value in sorted(self._counters.gauges().items()):
+        for name, value in sorted(self._counters.gauge_source().items()):
             family.add_metric([name], value)
         yield family
 
@@ -65,12 +65,12 @@
 class MetricsApplication:
     """A WSGI application that answers every path with the figures."""
 
-    def __init__(self, counters: ScrapedCounters) -> None:
+    def __init__(self, counters: PrometheusCounters) -> None:
         self._counters = counters
 
     def __call__(self, environ: Mapping[str, Any], start_response: Any) -> Iterable[bytes]:
         """Answer one scraper."""
-        page = self._counters.page()
+        page = self._counters.render()
         headers = [("Content-Type", _CONTENT_TYPE), ("Content-Length", str(len(page)))]
         start_response("200 OK", headers)
         return [page]
--- a/src/aspengate/telemetry/_threads.py
+++ b/src/aspengate/telemetry/_threads.py
@@ -12,7 +12,7 @@
 _MOST_TOLD = 300
 
 
-def lasting_thread(run: Callable[[], None], name: str, counters: Counters) -> threading.Thread:
+def supervised_thread(run: Callable[[], None], name: str, counters: Counters) -> threading.Thread:
     """Return a thread that runs ``run`` until it returns, and again after each fault.
 
     ``run`` is a loop that keeps its state outside of itself. Without this one message or entry
