--- a/features/losses.feature
+++ b/features/losses.feature
@@ -1,26 +1,26 @@
-Feature: What requests lost their worth by is told from routers' logs
+Feature: A report from routers' logs shows why requests failed or were late
 
-  Scenario: Losses are counted by reason, and tokens are stated as parts of their limit
+  Scenario: Losses are counted by reason, and the token states add up to the limit
     Given logs of two routers with requests served, late, refused and cut
-    When the losses are asked for
-    Then each reason has its count, by account and by replica
-    And the calls to the store are those that each session told last
-    And the account's tokens are spent, reserved, idle, held by nobody or lost, and nothing else
+    When the loss report is requested
+    Then each reason is counted by account and by replica
+    And the store calls are the sum of what each session logged last
+    And the account's spent, reserved, idle, unallocated and lost tokens add up to its limit
 
-  Scenario: A log without lines is told as such
-    Given a file that holds no line of a router
-    When the losses are asked for
-    Then the command names the fault and prints no report
+  Scenario: A log without router lines is an error
+    Given a file without any line of a router
+    When the loss report is requested
+    Then the command reports the error and prints no report
 
-  Scenario Outline: The cause of one request's end is one sentence
+  Scenario Outline: The reason for one request's end is one sentence
     Given logs of two routers with requests served, late, refused and cut
-    When the cause of <request> is asked for
-    Then it says <what>
+    When the reason for the end of <request> is requested
+    Then the output ends with a line that contains <text>
 
     Examples:
-      | request   | what                                                                     |
-      | paused    | a pause of 301 ms, its aim is 300 ms; at i-1 beside it: none             |
-      | late      | begun after 1001 ms, its aim is 1000 ms                                  |
-      | exhausted | of its 10000 tokens 12% were spent, 5% reserved by requests in progress  |
-      | cut       | reset by i-2 (router b, replica i-2)                                     |
-      | served    | served in time by a                                                      |
+      | request   | text                                                                              |
+      | paused    | a pause of 301 ms, the target is 300 ms; long prompts sent to i-1 meanwhile: none |
+      | late      | started after 1001 ms, the target is 1000 ms                                      |
+      | exhausted | of its 10000 tokens 12% were spent, 5% reserved by requests in progress           |
+      | cut       | reset by i-2 (router b, replica i-2)                                              |
+      | served    | served in time by a                                                               |
--- a/features/steps/crashes_steps.py
+++ b/features/steps/crashes_steps.py
@@ -106,7 +106,7 @@
     cause = describe_end(ends[-1]["request_id"], told)
     for identity in ended:
         assert f"replica.ended  replica={identity}" in story, story
-        assert f"{identity} " in cause and "as router-1 saw" in cause, cause
+        assert f"{identity} " in cause and "detected by router-1" in cause, cause
 
 
 @given("requests of two accounts with paths and bodies of any kind")
--- a/features/steps/foreign_entries_steps.py
+++ b/features/steps/foreign_entries_steps.py
@@ -258,4 +258,4 @@
 @then("all of them continue after an exception")
 def all_threads_continue(context):
     assert not context.plain_threads, context.plain_threads
-    assert context.supervised_threads >= 10, context.lasting_threads
+    assert context.supervised_threads >= 10, context.supervised_threads
--- a/features/steps/losses_steps.py
+++ b/features/steps/losses_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the report of losses."""
+"""Steps for the report of failed and late requests."""
 
 import os
 import subprocess
@@ -10,40 +10,40 @@
 
 from aspengate.explanation import read_lines
 from aspengate.losses import Loss, report_losses
-from telemetry_steps import message
+from telemetry_steps import log_line
 
 SERVED = {"outcome": "answered", "status": 200, "aim_ms": 1_000, "gap_aim_ms": 300, "tokens": 500}
 
 
-def ended(at, **fields):
-    return message(at, "request.ended", **{"account": "board", **fields})
+def ended_line(at, **fields):
+    return log_line(at, "request.ended", **{"account": "board", **fields})
 
 
-def served(at, replica, first_ms=90, gap_ms=200, name="served"):
+def served_line(at, replica, first_ms=90, gap_ms=200, name="served"):
     attempts = [{"replica": replica, "outcome": "answered"}]
     timing = {"first_event_ms": first_ms, "longest_gap_ms": gap_ms}
-    return ended(at, **SERVED, **timing, settled=400, attempts=attempts, request_id=name)
+    return ended_line(at, **SERVED, **timing, settled=400, attempts=attempts, request_id=name)
 
 
-def told(at, session, **fields):
-    return message(
+def allowance_line(at, session, **fields):
+    return log_line(
         at, "allowance.granted", account="board", session=session, limit=10_000, **fields
     )
 
 
-FIRST = [
-    told(100.0, "a.1", spent=0, reserved=0, idle=3_000, unheld=7_000),
-    served(101.0, "i-1"),
-    served(101.5, "i-1", gap_ms=301, name="paused"),
-    served(101.6, "i-2", first_ms=1_001, name="late"),
-    told(102.0, "a.1", spent=1_200, reserved=500, idle=1_300, unheld=7_000),
-    message(102.5, "store.calls", session="a.1", calls={"watch": 2}),
-    message(103.0, "store.calls", session="a.1", calls={"watch": 3, "write": 1}),
-    message(104.0, "store.calls", session="a.2", calls={"watch": 1}),
-    told(104.0, "a.2", spent=0, reserved=0, idle=1_000, unheld=6_000),
+FIRST_LOG = [
+    allowance_line(100.0, "a.1", spent=0, reserved=0, idle=3_000, unheld=7_000),
+    served_line(101.0, "i-1"),
+    served_line(101.5, "i-1", gap_ms=301, name="paused"),
+    served_line(101.6, "i-2", first_ms=1_001, name="late"),
+    allowance_line(102.0, "a.1", spent=1_200, reserved=500, idle=1_300, unheld=7_000),
+    log_line(102.5, "store.calls", session="a.1", calls={"watch": 2}),
+    log_line(103.0, "store.calls", session="a.1", calls={"watch": 3, "write": 1}),
+    log_line(104.0, "store.calls", session="a.2", calls={"watch": 1}),
+    allowance_line(104.0, "a.2", spent=0, reserved=0, idle=1_000, unheld=6_000),
 ]
-SECOND = [
-    ended(
+SECOND_LOG = [
+    ended_line(
         103.0,
         outcome="budget_exhausted",
         status=402,
@@ -51,8 +51,8 @@
         attempts=[],
         request_id="exhausted",
     ),
-    ended(103.1, outcome="budget_unavailable", status=503, tokens=900, attempts=[]),
-    ended(
+    ended_line(103.1, outcome="budget_unavailable", status=503, tokens=900, attempts=[]),
+    ended_line(
         103.2,
         outcome="upstream_failed",
         reason="reset by i-2",
@@ -69,21 +69,21 @@
 def two_routers(context):
     folder = Path(context.cleanup.enter_context(tempfile.TemporaryDirectory()))
     context.logs = []
-    for name, lines in (("a", FIRST), ("b", SECOND)):
+    for name, lines in (("a", FIRST_LOG), ("b", SECOND_LOG)):
         path = folder / f"{name}.log"
         path.write_text("\n".join(lines) + "\n", encoding="utf-8")
         context.logs.append(path)
 
 
-@given("a file that holds no line of a router")
+@given("a file without any line of a router")
 def no_line(context):
     folder = Path(context.cleanup.enter_context(tempfile.TemporaryDirectory()))
     context.logs = [folder / "noise.log"]
     context.logs[0].write_text("noise\n{}\n", encoding="utf-8")
 
 
-@when("the losses are asked for")
-def ask_losses(context):
+@when("the loss report is requested")
+def request_report(context):
     context.run = subprocess.run(
         [sys.executable, "-m", "aspengate", "losses", *map(str, context.logs)],
         capture_output=True,
@@ -96,8 +96,8 @@
     context.report = report_losses(lines, 10.0)
 
 
-@then("each reason has its count, by account and by replica")
-def reasons(context):
+@then("each reason is counted by account and by replica")
+def reasons_counted(context):
     assert context.run.returncode == 0, context.run.stderr
     assert "6 requests, 1 served in time" in context.run.stdout, context.run.stdout
     by_account = next(t for t in context.report.tables if t.title == "account").rows["board"]
@@ -112,14 +112,14 @@
     assert by_replica["i-2"] == {Loss.LATE_FIRST: 1, Loss.CUT: 1}, by_replica
 
 
-@then("the calls to the store are those that each session told last")
+@then("the store calls are the sum of what each session logged last")
 def store_calls(context):
     assert context.report.store_calls == {"watch": 4, "write": 1}
     assert "5 calls to the store" in context.run.stdout, context.run.stdout
 
 
-@when("the cause of {request} is asked for")
-def ask_cause(context, request):
+@when("the reason for the end of {request} is requested")
+def request_reason(context, request):
     context.run = subprocess.run(
         [sys.executable, "-m", "aspengate", "explain", request, *map(str, context.logs)],
         capture_output=True,
@@ -128,14 +128,14 @@
     )
 
 
-@then("it says {what}")
-def says(context, what):
+@then("the output ends with a line that contains {text}")
+def last_line_contains(context, text):
     assert context.run.returncode == 0, context.run.stderr
-    assert what in context.run.stdout.splitlines()[-1], context.run.stdout
+    assert text in context.run.stdout.splitlines()[-1], context.run.stdout
 
 
-@then("the account's tokens are spent, reserved, idle, held by nobody or lost, and nothing else")
-def statement(context):
+@then("the account's spent, reserved, idle, unallocated and lost tokens add up to its limit")
+def states_add_up(context):
     last = context.report.tokens[-1]
     assert (last.limit, last.spent, last.charged_to_failed) == (10_000, 1_700, 500), last
     assert (last.reserved, last.idle, last.unallocated, last.lost) == (0, 1_000, 6_000, 1_300), last
@@ -144,8 +144,8 @@
     assert "17.0" in context.run.stdout and "13.0" in context.run.stdout, context.run.stdout
 
 
-@then("the command names the fault and prints no report")
-def names_the_fault(context):
+@then("the command reports the error and prints no report")
+def error_reported(context):
     assert context.run.returncode == 2
     assert "no line of a router's log" in context.run.stderr, context.run.stderr
     assert not context.run.stdout
--- a/features/steps/replica_limit_answers_steps.py
+++ b/features/steps/replica_limit_answers_steps.py
@@ -121,7 +121,7 @@
     for each in context.portals:
         assert f"replica.limited  replica={each.identity}" in text, text
     cause = describe_end(identity, told)
-    assert cause.startswith("refused: all replicas have got what their limits allow"), cause
+    assert cause.startswith("refused: all replicas are at their rate limits"), cause
     assert "2 of 2 replicas name limits" in cause, cause
 
 
--- a/features/steps/telemetry_steps.py
+++ b/features/steps/telemetry_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the log, the figures, and the story of one request."""
+"""Steps for the log, the metrics, and the trace of one request."""
 
 import io
 import json
@@ -16,23 +16,23 @@
 from aspengate.telemetry import BackgroundLog
 from gateway_world import GENEROUS_RETRIES, TOKENS, start_gateways
 
-PIPE_LINES = 400
+PIPE_CAPACITY_LINES = 400
 
 
-@given("a gateway whose standard output nobody reads")
-def nobody_reads(context):
+@given("a gateway whose standard output is not read")
+def unread_output(context):
     start_gateways(context, unread=True, **GENEROUS_RETRIES)
 
 
-@when("more lines are logged than the pipe and the queue hold")
+@when("more lines are logged than fit into the pipe and the queue")
 def many_lines(context):
     caller = context.router.call()
     context.statuses = set()
-    for number in range(PIPE_LINES * 8):
+    for number in range(PIPE_CAPACITY_LINES * 8):
         context.statuses.add(caller.request("GET", f"/receipt/{number}").status)
 
 
-@then("every request is answered, and the dropped lines are counted")
+@then("every request succeeds, and the dropped lines are counted")
 def dropped_counted(context):
     assert context.statuses == {200}, context.statuses
     page = eventually(lambda: scrape(context.router, 'what="log_lines_dropped"'))
@@ -47,7 +47,7 @@
     return found[0] if found else ""
 
 
-@given("a log with room for 5 lines")
+@given("a log with a queue of 5 lines")
 def small_log(context):
     context.stream = io.StringIO()
     context.log = BackgroundLog(context.stream, capacity=5)
@@ -61,15 +61,15 @@
     context.log.close()
 
 
-@then("5 lines are written, and one that 15 were dropped")
+@then("5 lines are written, and one that reports 15 dropped lines")
 def five_written(context):
     lines = [json.loads(line) for line in context.stream.getvalue().splitlines()]
     assert [line.get("number") for line in lines[:5]] == [0, 1, 2, 3, 4]
     assert lines[5] == {"message_type": "aspengate.log.dropped", "lines": 15}, lines
 
 
-@when("requests are answered, refused, repeated and left by their callers")
-def all_kinds(context):
+@when("requests are answered, refused, retried and abandoned by their clients")
+def requests_of_all_outcomes(context):
     context.ids = {}
     caller = context.router.call()
     secret = b"the essay of candidate zq4711qz"
@@ -79,38 +79,38 @@
     assert caller.read().status == 401
     for replica in context.fleet.of("portal"):
         replica.behaviours = {1: "lose"}
-    context.ids["repeated"] = caller.send("GET", "/receipt/2")
+    context.ids["retried"] = caller.send("GET", "/receipt/2")
     caller.read()
     for engine in context.fleet.of("engine"):
         engine.behaviour = "mute"
-    leaving = context.router.call()
-    context.ids["caller_gone"] = leaving.send("POST", "/review/3", body=secret, tokens=TOKENS)
+    disconnecting = context.router.call()
+    context.ids["caller_gone"] = disconnecting.send("POST", "/review/3", body=secret, tokens=TOKENS)
     assert eventually(lambda: context.fleet.runs(context.ids["caller_gone"]))
-    leaving.close()
+    disconnecting.close()
 
 
-def line_of(context, identity):
+def ended_line(context, identity):
     return eventually(lambda: context.router.find("request.ended", request_id=identity))
 
 
-@then("each has one line with its id, outcome, attempts and version")
+@then("each has one line with its id, outcome, attempts and configuration version")
 def one_line_each(context):
     for name, identity in context.ids.items():
-        line = line_of(context, identity)
+        line = ended_line(context, identity)
         assert line, name
-        expected = {"repeated": line["outcome"]}.get(name, name)
+        expected = {"retried": line["outcome"]}.get(name, name)
         assert line["outcome"] == expected, line
         assert line["version"] >= 1
     lines = [line for line in context.router.lines if "request_id" in line]
     assert sorted(line["request_id"] for line in lines) == sorted(context.ids.values())
-    assert len(line_of(context, context.ids["repeated"])["attempts"]) == 2
-    assert not line_of(context, context.ids["unauthenticated"])["attempts"]
+    assert len(ended_line(context, context.ids["retried"])["attempts"]) == 2
+    assert not ended_line(context, context.ids["unauthenticated"])["attempts"]
 
 
 @then("no line holds a key, a body or a prompt")
-def nothing_secret(context):
+def no_secrets_logged(context):
     text = json.dumps(context.router.lines)
-    # No word of the body; digits alone may stand in the random id of a line.
+    # Only words of the body are searched for: its digits alone may occur in a random request id.
     words = (KEY, "wrong-key", "essay", "candidate", "zq4711qz")
     assert not [word for word in words if word in text], text[:2_000]
 
@@ -123,8 +123,8 @@
     assert caller.request("GET", "/nowhere/1").status == 404
 
 
-@then("the figures count them by outcome and tell the version in force")
-def figures(context):
+@then("the metrics count them by outcome and show the version in force")
+def metrics_match(context):
     router = context.router
     assert scrape(router, 'event="request.answered"').endswith(" 5.0")
     assert scrape(router, 'event="request.not_found"').endswith(" 1.0")
@@ -136,8 +136,8 @@
 def two_logs(context):
     folder = Path(context.cleanup.enter_context(tempfile.TemporaryDirectory()))
     first = [
-        message(100.0, "store.lost", prefix="op/", error="cut"),
-        message(
+        log_line(100.0, "store.lost", prefix="op/", error="cut"),
+        log_line(
             103.0,
             "request.ended",
             request_id="0a",
@@ -146,13 +146,13 @@
             held_ms=100,
             attempts=[],
         ),
-        message(103.1, "request.ended", request_id="0b", outcome="answered", attempts=[]),
+        log_line(103.1, "request.ended", request_id="0b", outcome="answered", attempts=[]),
     ]
     second = [
-        message(50.0, "allowance.granted", account="board", granted=5),
-        message(102.0, "allowance.granted", account="board", granted=9),
-        message(102.5, "allowance.granted", account="shop", granted=9),
-        message(
+        log_line(50.0, "allowance.granted", account="board", granted=5),
+        log_line(102.0, "allowance.granted", account="board", granted=9),
+        log_line(102.5, "allowance.granted", account="shop", granted=9),
+        log_line(
             105.0,
             "request.ended",
             request_id="0a",
@@ -169,12 +169,12 @@
         context.logs.append(str(path))
 
 
-def message(at, change, **fields):
+def log_line(at, change, **fields):
     return json.dumps({"message_type": f"aspengate.{change}", "timestamp": at, **fields})
 
 
-@when("its story is asked for")
-def ask_story(context):
+@when("its trace is requested")
+def request_trace(context):
     context.run = subprocess.run(
         [sys.executable, "-m", "aspengate", "explain", "0a", *context.logs],
         capture_output=True,
@@ -183,8 +183,8 @@
     )
 
 
-@then("the command prints both ends in order, and what was believed at that time")
-def story(context):
+@then("the command prints both ends in order, and the routers' state at that time")
+def trace_printed(context):
     assert context.run.returncode == 0, context.run.stderr
     lines = context.run.stdout.splitlines()
     ends = [line for line in lines if "request.ended" in line]
@@ -196,7 +196,7 @@
     assert any("not known at router-1" in line and "3.0 s" in line for line in lines), lines
 
 
-@when("receipts are asked for and every replica refuses them")
+@when("receipts are requested and every replica refuses them")
 def refused_receipts(context):
     for replica in context.fleet.of("portal"):
         replica.behaviour = "refuse"
@@ -205,25 +205,25 @@
         caller.request("GET", f"/receipt/{number}")
 
 
-@then("a line tells how many repeats were allowed and refused, the share and the routers")
-def repeats_told(context):
-    def told():
-        lines = [line for line in context.router.lines if is_about_repeats(line)]
+@then("a line reports the allowed and refused retries, the retry share and the router count")
+def retries_reported(context):
+    def decision_lines():
+        lines = [line for line in context.router.lines if is_retry_decision(line)]
         decided = sum(line["allowed_since"] + line["refused_since"] for line in lines)
         return lines if decided >= 10 else []
 
-    lines = eventually(told)
+    lines = eventually(decision_lines)
     assert sum(line["allowed_since"] + line["refused_since"] for line in lines) == 10, lines
     assert lines[-1]["service"] == "portal" and lines[-1]["requests"] == 10, lines[-1]
     assert {"share", "repeats", "routers", "routers_told_ms"} <= set(lines[-1]), lines[-1]
 
 
-def is_about_repeats(line):
+def is_retry_decision(line):
     return line.get("message_type") == "aspengate.retry.decided"
 
 
-@then("each request's line tells the decision on its own repeat")
-def repeat_of_each_told(context):
+@then("each request's line reports the decision on its own retry")
+def each_retry_reported(context):
     ended = [
         line
         for line in context.router.lines
--- a/features/telemetry.feature
+++ b/features/telemetry.feature
@@ -1,33 +1,33 @@
-Feature: A failure can be explained afterwards
+Feature: Logs and metrics explain a failure afterwards
 
-  Scenario: A log that nobody reads holds no request
-    Given a gateway whose standard output nobody reads
-    When more lines are logged than the pipe and the queue hold
-    Then every request is answered, and the dropped lines are counted
+  Scenario: An unread log does not block requests
+    Given a gateway whose standard output is not read
+    When more lines are logged than fit into the pipe and the queue
+    Then every request succeeds, and the dropped lines are counted
 
-  Scenario: Dropped lines are told once there is room
-    Given a log with room for 5 lines
+  Scenario: The number of dropped lines is logged once there is room
+    Given a log with a queue of 5 lines
     When 20 lines are logged before any is written
-    Then 5 lines are written, and one that 15 were dropped
+    Then 5 lines are written, and one that reports 15 dropped lines
 
-  Scenario: Every request has one line that tells what decided
+  Scenario: Every request has one log line with the reasons for its outcome
     Given a gateway before two replicas of each service
-    When requests are answered, refused, repeated and left by their callers
-    Then each has one line with its id, outcome, attempts and version
+    When requests are answered, refused, retried and abandoned by their clients
+    Then each has one line with its id, outcome, attempts and configuration version
     And no line holds a key, a body or a prompt
 
-  Scenario: Figures can be scraped
+  Scenario: Metrics can be scraped
     Given a gateway before one replica of each service
     When some requests are answered and refused
-    Then the figures count them by outcome and tell the version in force
+    Then the metrics count them by outcome and show the version in force
 
-  Scenario: One request's story is put together from the logs of several machines
+  Scenario: The trace of one request is assembled from the logs of several machines
     Given logs of two routers in which one request was tried at both
-    When its story is asked for
-    Then the command prints both ends in order, and what was believed at that time
+    When its trace is requested
+    Then the command prints both ends in order, and the routers' state at that time
 
-  Scenario: The decisions on repeats are told with what they went by
+  Scenario: The decisions on retries are logged with their inputs
     Given a gateway before two replicas of each service
-    When receipts are asked for and every replica refuses them
-    Then a line tells how many repeats were allowed and refused, the share and the routers
-    And each request's line tells the decision on its own repeat
+    When receipts are requested and every replica refuses them
+    Then a line reports the allowed and refused retries, the retry share and the router count
+    And each request's line reports the decision on its own retry
--- a/src/aspengate/clock/__init__.py
+++ b/src/aspengate/clock/__init__.py
@@ -1,4 +1,4 @@
-"""The one clock type of the project, in milliseconds."""
+"""Clocks in milliseconds: the system clock, and one that tests set by hand."""
 
 from aspengate.clock._clock import Clock, ManualClock, SystemClock
 
--- a/src/aspengate/errors/__init__.py
+++ b/src/aspengate/errors/__init__.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds, and what a caller is told for each."""
+"""The kinds of errors that a request can end with, and the HTTP response to each."""
 
 from aspengate.errors._error import AspengateError, ErrorBody
 from aspengate.errors._kinds import ERROR_RESPONSES, ErrorKind, ErrorResponse, RunState
--- a/src/aspengate/errors/_error.py
+++ b/src/aspengate/errors/_error.py
@@ -1,4 +1,4 @@
-"""The exception that carries an error kind, and its form towards callers."""
+"""The exception that carries an error kind, and its JSON form in an HTTP response."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """The JSON object under ``error`` in an answer to a caller."""
+    """Holds the JSON object under ``error`` in the body of an error response."""
 
     code: str
     message: str
@@ -15,11 +15,10 @@
 
 
 class AspengateError(Exception):
-    """A failure with a code; raise it wherever a request or an edit can't go on.
+    """Raised if a request or an edit of the table fails; ``kind`` is its machine-readable code.
 
-    ``where`` names the position of the cause, such as a file, a row or a setting.
-    ``retry_after_s`` is when a retry may help, in seconds, where that is known better than by the
-    kind.
+    ``where`` names the location of the cause, such as a file, a row or a setting.
+    ``retry_after_s`` overrides the kind's default time after which to retry, in seconds.
     """
 
     def __init__(
@@ -38,18 +37,18 @@
 
     @property
     def response(self) -> ErrorResponse:
-        """The HTTP answer to this error's kind."""
+        """The HTTP response for this error's kind."""
         return ERROR_RESPONSES[self.kind]
 
     @property
     def retry_after_s(self) -> float | None:
-        """When a retry may help, in seconds; None where none does."""
+        """The time after which to retry, in seconds; None if a retry does not help."""
         if self._retry_after_s is not None:
             return self._retry_after_s
         return self.response.retry_after_s
 
     def body(self, request_id: str = "") -> ErrorBody:
-        """Return what a caller is told about this error."""
+        """Return the error as it is sent to the HTTP client."""
         return ErrorBody(
             code=self.kind.value,
             message=str(self),
--- a/src/aspengate/errors/_kinds.py
+++ b/src/aspengate/errors/_kinds.py
@@ -1,11 +1,11 @@
-"""Every kind of error that a caller can meet, with the answer to each."""
+"""Every kind of error that an HTTP client can receive, with the response to each."""
 
 import enum
 from dataclasses import dataclass
 
 
 class RunState(enum.Enum):
-    """What an error says about the request: whether its work was started."""
+    """Tells whether the request of an error response was executed."""
 
     NOT_RUN = "not_run"
     RAN = "ran"
@@ -13,7 +13,7 @@
 
 
 class ErrorKind(enum.Enum):
-    """The code that an error carries, in logs and to callers."""
+    """The code of an error, in logs and in error responses."""
 
     BAD_REQUEST = "bad_request"
     UNAUTHENTICATED = "unauthenticated"
@@ -45,10 +45,10 @@
 
 @dataclass(frozen=True)
 class ErrorResponse:
-    """The HTTP answer to one kind of error.
+    """Holds the HTTP response to one kind of error.
 
-    ``retry_after_s`` is in seconds; ``None`` means that a retry does not help, 0 that it helps at
-    once: another router serves what one that is being stopped refuses.
+    ``retry_after_s`` is in seconds. ``None`` means that a retry does not help. 0 means that an
+    immediate retry helps: another router serves the requests that a stopping router refuses.
     """
 
     status: int
--- a/src/aspengate/explanation/__init__.py
+++ b/src/aspengate/explanation/__init__.py
@@ -1,4 +1,4 @@
-"""Puts one request's story together from the logs of several routers."""
+"""Reconstructs the trace of one request from the logs of several routers."""
 
 from aspengate.explanation._lines import LogLine, read_lines
 from aspengate.explanation._trace import RequestTrace, trace_request
--- a/src/aspengate/explanation/_lines.py
+++ b/src/aspengate/explanation/_lines.py
@@ -1,4 +1,4 @@
-"""Lines of routers' logs, from files or from several logs that were gathered into one."""
+"""Parses the log lines of routers, from one log or from several logs merged into one file."""
 
 import re
 from collections.abc import Iterable
@@ -7,13 +7,13 @@
 
 import msgspec
 
-_GATHERED_PATTERN = re.compile(r"^\s*-?[\d.]+\s+(?P<machine>\S+)\s+(?P<line>\{.*)$")
+_MERGED_PATTERN = re.compile(r"^\s*-?[\d.]+\s+(?P<machine>\S+)\s+(?P<line>\{.*)$")
 _PREFIX = "aspengate."
 
 
 @dataclass(frozen=True)
 class LogLine:
-    """One logged change: on which machine, when (seconds since the epoch), what, and its fields."""
+    """Holds one logged event: its machine, time (seconds since the epoch), name and fields."""
 
     machine: str
     time_s: float
@@ -22,15 +22,16 @@
 
 
 def read_lines(name: str, text: Iterable[str]) -> list[LogLine]:
-    """Return the lines of a log; others, such as a runtime's own, are passed over.
+    """Return the parsed lines of a log; lines in another format are skipped.
 
-    ``name`` is the machine's, unless a line begins with a time and a machine's name.
+    ``name`` is the machine's name. In a merged log, each line begins with a time and the name of
+    its machine, which overrides ``name``.
     """
     found = []
     for line in text:
-        gathered = _GATHERED_PATTERN.match(line)
-        machine = gathered["machine"] if gathered else name
-        parsed = _parse(machine, gathered["line"] if gathered else line)
+        merged = _MERGED_PATTERN.match(line)
+        machine = merged["machine"] if merged else name
+        parsed = _parse(machine, merged["line"] if merged else line)
         if parsed is not None:
             found.append(parsed)
     return found
@@ -47,6 +48,6 @@
     if not change.startswith(_PREFIX):
         return None
     time_s = float(fields.pop("timestamp", 0.0))
-    for own in ("task_uuid", "task_level"):
-        fields.pop(own, None)
+    for internal in ("task_uuid", "task_level"):
+        fields.pop(internal, None)
     return LogLine(machine, time_s, change.removeprefix(_PREFIX), fields)
--- a/src/aspengate/explanation/_trace.py
+++ b/src/aspengate/explanation/_trace.py
@@ -1,4 +1,4 @@
-"""What happened to one request, and what its routers believed at that time."""
+"""The trace of one request: its log lines, and the state of its routers at that time."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -6,8 +6,9 @@
 from aspengate.errors import AspengateError, ErrorKind
 from aspengate.explanation._lines import LogLine
 
-_BEFORE_S = 10.0
-_STATE = {
+_CONTEXT_S = 10.0
+# State changes of a router that can affect any request, with the subsystem that they concern.
+_STATE_CHANGES = {
     "store.connected": "store",
     "store.lost": "store",
     "store.era": "store",
@@ -21,61 +22,65 @@
     "gateway.refusing": "process",
     "gateway.reloaded": "settings",
 }
-# What replicas said of themselves touches each request of their service: they were passed over.
-_SAID = frozenset({"replica.leaving", "replica.rests", "replica.limited"})
+# Notices that replicas send about themselves. They concern every request of the service, since the
+# router does not send requests to a replica that gave such a notice.
+_REPLICA_NOTICES = frozenset({"replica.leaving", "replica.rests", "replica.limited"})
 
 
 @dataclass(frozen=True)
 class RequestTrace:
-    """The ends of one request, and the changes around them, each in order of time."""
+    """Holds the ``request.ended`` lines of one request and the related state changes."""
 
     request_id: str
     ends: tuple[LogLine, ...]
-    around: tuple[LogLine, ...]
+    related: tuple[LogLine, ...]
 
     def lines(self) -> list[str]:
-        """Return the story as text, times in seconds from its first line."""
-        origin = min(line.time_s for line in (*self.ends, *self.around))
-        merged = sorted((*self.around, *self.ends), key=lambda line: line.time_s)
-        told = [_told(line, origin) for line in merged]
-        return [f"request {self.request_id}", *told, *self._unknown()]
-
-    def _unknown(self) -> list[str]:
-        """Return what the routers did not know when they decided."""
-        unknown = []
+        """Return the trace as lines of text, with times in seconds since its first event."""
+        origin = min(line.time_s for line in (*self.ends, *self.related))
+        merged = sorted((*self.related, *self.ends), key=lambda line: line.time_s)
+        events = [_format_event(line, origin) for line in merged]
+        return [f"request {self.request_id}", *events, *self._missing_updates()]
+
+    def _missing_updates(self) -> list[str]:
+        """Return a line for each store prefix that a router could not follow at that time."""
+        missing = []
         for end in self.ends:
-            lost = [line for line in self.around if line.machine == end.machine]
-            lost = [line for line in lost if line.change.startswith("store.")]
-            latest = {line.fields.get("prefix"): line for line in lost}
+            changes = [line for line in self.related if line.machine == end.machine]
+            changes = [line for line in changes if line.change.startswith("store.")]
+            latest = {line.fields.get("prefix"): line for line in changes}
             for prefix, line in latest.items():
                 if line.change == "store.lost":
                     age = end.time_s - line.time_s
-                    unknown.append(
+                    missing.append(
                         f"not known at {end.machine}: changes below {prefix!r} "
                         f"for the last {age:.1f} s"
                     )
-        return unknown
+        return missing
 
 
 def trace_request(request_id: str, lines: Iterable[LogLine]) -> RequestTrace:
-    """Return a request's story; raises NOT_FOUND where no line speaks of it.
+    """Return the trace of a request; raises NOT_FOUND if no line has its id.
 
-    Around its ends stand the changes of the ten seconds before that touch what decided: the
-    store, the configuration, the request's account, and the replicas that it was sent to; and at
-    any time before, at any router, what was told of replicas that ended under the same request.
+    The trace includes the state changes at the same router from 10 s before the request arrived
+    until it ended that could affect it: of the store, the configuration, the request's account,
+    and the replicas that it was sent to. It also includes, at any earlier time and at any router,
+    the crashes and trials of requests with the same fingerprint.
     """
     listed = list(lines)
     ends = tuple(line for line in listed if line.fields.get("request_id") == request_id)
     if not ends:
-        raise AspengateError(ErrorKind.NOT_FOUND, "no log speaks of this request", where=request_id)
-    around = tuple(line for line in listed if any(_touches(line, end) for end in ends))
-    return RequestTrace(request_id, ends, around)
+        raise AspengateError(
+            ErrorKind.NOT_FOUND, "no log line has this request id", where=request_id
+        )
+    related = tuple(line for line in listed if any(_is_related(line, end) for end in ends))
+    return RequestTrace(request_id, ends, related)
 
 
-def _is_about_content(line: LogLine, end: LogLine) -> bool:
-    """Return whether a line tells, before an end, of replicas that ended under its request.
+def _is_crash_of_same_request(line: LogLine, end: LogLine) -> bool:
+    """Return whether ``line`` reports an earlier crash or trial with the same request fingerprint.
 
-    Any router may have seen that, at any time before.
+    Lines of any router and at any earlier time count.
     """
     content = end.fields.get("content")
     if not content or line.fields.get("content") != content or line.time_s > end.time_s:
@@ -83,19 +88,19 @@
     return line.change == "replica.ended" or line.change.startswith("crash.")
 
 
-def _touches(line: LogLine, end: LogLine) -> bool:
-    if line is not end and _is_about_content(line, end):
+def _is_related(line: LogLine, end: LogLine) -> bool:
+    if line is not end and _is_crash_of_same_request(line, end):
         return True
     if line.machine != end.machine or line is end:
         return False
     held_s = float(end.fields.get("held_ms") or 0) / 1_000
-    if not end.time_s - held_s - _BEFORE_S <= line.time_s <= end.time_s:
+    if not end.time_s - held_s - _CONTEXT_S <= line.time_s <= end.time_s:
         return False
-    if line.change in _STATE:
+    if line.change in _STATE_CHANGES:
         return True
     if line.change.startswith("allowance."):
         return line.fields.get("account") == end.fields.get("account")
-    if line.change in _SAID:
+    if line.change in _REPLICA_NOTICES:
         return line.fields.get("service") == end.fields.get("service")
     if line.change.startswith("replica."):
         sent = {attempt.get("replica") for attempt in end.fields.get("attempts") or ()}
@@ -103,18 +108,20 @@
     return False
 
 
-def _told(line: LogLine, origin_s: float) -> str:
+def _format_event(line: LogLine, origin_s: float) -> str:
     fields = [
-        f"{name}={_value(value)}"
+        f"{name}={_format_value(value)}"
         for name, value in line.fields.items()
         if name not in ("request_id", "attempts") and value not in ("", None)
     ]
     text = f"{line.time_s - origin_s:8.3f} s  {line.machine}  {line.change}  {' '.join(fields)}"
     for number, attempt in enumerate(line.fields.get("attempts") or (), 1):
-        told = " ".join(f"{name}={_value(value)}" for name, value in attempt.items())
-        text += f"\n             attempt {number}: {told}"
+        attempt_fields = " ".join(
+            f"{name}={_format_value(value)}" for name, value in attempt.items()
+        )
+        text += f"\n             attempt {number}: {attempt_fields}"
     return text
 
 
-def _value(value: object) -> str:
+def _format_value(value: object) -> str:
     return repr(value) if isinstance(value, str) and " " in value else str(value)
--- a/src/aspengate/losses/__init__.py
+++ b/src/aspengate/losses/__init__.py
@@ -1,4 +1,4 @@
-"""What requests lost their worth by, and where an account's tokens went, from routers' logs."""
+"""Reports from routers' logs why requests failed or were late, and how tokens were used."""
 
 from aspengate.losses._cause import describe_end
 from aspengate.losses._reasons import Loss, classify_loss
--- a/src/aspengate/losses/_reasons.py
+++ b/src/aspengate/losses/_reasons.py
@@ -1,4 +1,4 @@
-"""Why a request was not served in time, as far as its router's own line tells."""
+"""Classifies why a request was not served in time, from its ``request.ended`` log line."""
 
 import enum
 from collections.abc import Mapping
@@ -8,23 +8,23 @@
 
 
 class Loss(enum.Enum):
-    """The reasons for which a request loses its worth, or a part of it."""
+    """The reasons why a request failed or was served too late."""
 
-    TOKENS_EXHAUSTED = "refused: its account's tokens are spent or held"
-    TOKENS_UNAVAILABLE = "refused: tokens are left, none can be granted now"
-    LOAD = "refused: replicas are full or away"
+    TOKENS_EXHAUSTED = "refused: the tokens of its account are spent or allocated"
+    TOKENS_UNAVAILABLE = "refused: tokens are left, but none can be granted now"
+    LOAD = "refused: replicas are full or unavailable"
     WARMING_UP = "refused: replicas may be cold"
-    RESTING = "refused: all replicas asked for rest"
-    AT_LIMIT = "refused: all replicas have got what their limits allow"
-    CRASHES = "refused: replicas ended under this request"
+    RESTING = "refused: all replicas are backing off"
+    AT_LIMIT = "refused: all replicas are at their rate limits"
+    CRASHES = "refused: replicas crashed while running this request"
     LEAVING = "refused: the router is being stopped"
     NOT_ALLOWED = "refused: no route, key or configuration"
-    LATE_FIRST = "served late: the first event or answer"
+    LATE_FIRST = "served late: the first event or the response"
     LATE_PAUSE = "served late: a pause in the stream"
-    CUT = "cut: its replica failed"
+    CUT = "cut off: its replica failed"
     TIMED_OUT = "timed out"
-    CALLER_LEFT = "its caller left"
-    FAILED = "the replica answered with a failure"
+    CALLER_LEFT = "its client disconnected"
+    FAILED = "the replica returned an error status"
     OTHER = "another error"
 
 
@@ -50,19 +50,19 @@
     ErrorKind.CALLER_GONE.value: Loss.CALLER_LEFT,
 }
 _ANSWERED = "answered"
-_LEAST_FAILURE_STATUS = 400
+_MIN_ERROR_STATUS = 400
 
 
 def classify_loss(fields: Mapping[str, Any]) -> Loss | None:
-    """Return why the request of a ``request.ended`` line lost worth; None where it did not."""
+    """Return why the request of a ``request.ended`` line failed or was late, or None."""
     outcome = str(fields.get("outcome", ""))
     if outcome != _ANSWERED:
         return _BY_KIND.get(outcome, Loss.OTHER)
-    if int(fields.get("status") or 0) >= _LEAST_FAILURE_STATUS:
+    if int(fields.get("status") or 0) >= _MIN_ERROR_STATUS:
         return Loss.FAILED
-    begun_ms = fields.get("first_event_ms") or fields.get("held_ms") or 0
+    started_ms = fields.get("first_event_ms") or fields.get("held_ms") or 0
     aim_ms = float(fields.get("aim_ms") or 0)
-    if aim_ms and begun_ms > aim_ms:
+    if aim_ms and started_ms > aim_ms:
         return Loss.LATE_FIRST
     gap_aim_ms = float(fields.get("gap_aim_ms") or 0)
     if gap_aim_ms and (fields.get("longest_gap_ms") or 0) > gap_aim_ms:
--- a/src/aspengate/losses/_requests.py
+++ b/src/aspengate/losses/_requests.py
@@ -1,4 +1,4 @@
-"""The ends of requests, counted by reason and by whatever they have in common."""
+"""Reads how requests ended, and counts the failed and late ones by reason and property."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable
@@ -12,10 +12,10 @@
 
 @dataclass(frozen=True)
 class RequestEnd:
-    """How one request ended at one router; ``replica`` is the last that it was sent to, if any.
+    """Holds how one request ended at one router.
 
-    ``tokens`` is the most that it could use. ``folded`` counts further successes that the log
-    left out before this line.
+    ``replica`` is the last replica that it was sent to, or empty. ``tokens`` is the upper bound of
+    its token use. ``folded`` counts the successful requests that the log omitted before this line.
     """
 
     time_s: float
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class LossTable:
-    """Counts of lost requests: a row for each value of a property, a column for each reason."""
+    """Counts failed and late requests, with a row per property value and a column per reason."""
 
     title: str
     rows: dict[str, Counter[Loss]]
@@ -38,7 +38,7 @@
 
 
 def read_ends(lines: Iterable[LogLine]) -> list[RequestEnd]:
-    """Return the ends of requests among the lines of logs, in order of time."""
+    """Return the ends of the requests in the lines of logs, ordered by time."""
     ends = [_end(line) for line in lines if line.change == _END]
     return sorted(ends, key=lambda end: end.time_s)
 
@@ -46,7 +46,7 @@
 def group_losses(
     title: str, ends: Iterable[RequestEnd], property_of: Callable[[RequestEnd], str]
 ) -> LossTable:
-    """Return the losses of requests by one of their properties; an empty value has no row."""
+    """Return the losses of requests by one of their properties; empty values are left out."""
     rows: dict[str, Counter[Loss]] = {}
     totals: Counter[str] = Counter()
     for end in ends:
--- a/src/aspengate/losses/_store_calls.py
+++ b/src/aspengate/losses/_store_calls.py
@@ -1,18 +1,18 @@
-"""The calls to the store that routers told of."""
+"""Counts the calls to the store that routers logged."""
 
 from collections import Counter
 from collections.abc import Iterable
 
 from aspengate.explanation import LogLine
 
-_TOLD = "store.calls"
+_STORE_CALLS = "store.calls"
 
 
 def count_store_calls(lines: Iterable[LogLine]) -> Counter[str]:
-    """Return the calls by kind: the last count that each session told, over all sessions."""
+    """Return the calls by kind: the sum of the last cumulative count logged by each session."""
     last: dict[str, LogLine] = {}
     for line in lines:
-        if line.change != _TOLD:
+        if line.change != _STORE_CALLS:
             continue
         session = str(line.fields.get("session") or line.machine)
         if session not in last or line.time_s >= last[session].time_s:
--- a/src/aspengate/losses/_tokens.py
+++ b/src/aspengate/losses/_tokens.py
@@ -1,9 +1,9 @@
-"""Where the tokens of each account were over time: a statement from the routers' own lines.
+"""Computes the distribution of each account's tokens over time from the routers' log lines.
 
-A router tells with each change of its allowance what its session spent, reserved and holds idle,
-and what the account's document said. What of a limit is neither spent by a session, reserved,
-idle nor held by nobody was lost: with sessions that died, with loans on the way, or settled above
-what was used.
+With each change of its allowance, a router logs how many tokens its session has spent, has reserved
+and holds idle, and the limit and unallocated tokens of the account's document. Tokens of the limit
+in none of these states count as lost: with a session that terminated, with a loan in transit, or
+because a request was charged more than it used.
 """
 
 from collections.abc import Iterable
@@ -11,7 +11,7 @@
 
 from aspengate.explanation import LogLine
 
-_TOLD = frozenset({"allowance.granted", "allowance.exhausted"})
+_ALLOWANCE_LINES = frozenset({"allowance.granted", "allowance.exhausted"})
 _END = "request.ended"
 
 
@@ -37,7 +37,7 @@
 
 @dataclass
 class _Session:
-    """What a session last told of itself; ``ended`` once its router runs another one."""
+    """Holds the last logged state of a session; ``ended`` once its router runs another one."""
 
     spent: int = 0
     reserved: int = 0
@@ -47,7 +47,7 @@
 
 @dataclass
 class _Account:
-    """What is known of an account while its lines are read in order of time."""
+    """Tracks the state of an account while its log lines are read in order of time."""
 
     limit: int = 0
     unallocated: int = 0
@@ -56,12 +56,16 @@
     sessions: dict[str, _Session] = field(default_factory=dict)
 
     def statement(self, name: str, time_s: float) -> TokenStatement:
-        """Return the account's statement."""
-        living = [each for each in self.sessions.values() if not each.ended]
-        told = sum(each.spent for each in self.sessions.values())
-        spent = max(told, self.charged)
-        reserved = max(0, sum(each.reserved for each in living) - (spent - told))
-        idle = sum(each.idle for each in living)
+        """Return the account's token statement at ``time_s``.
+
+        The sum that requests were charged may be ahead of what the sessions last logged as spent.
+        The difference then counts as spent instead of reserved.
+        """
+        active = [each for each in self.sessions.values() if not each.ended]
+        logged = sum(each.spent for each in self.sessions.values())
+        spent = max(logged, self.charged)
+        reserved = max(0, sum(each.reserved for each in active) - (spent - logged))
+        idle = sum(each.idle for each in active)
         lost = self.limit - spent - reserved - idle - self.unallocated
         return TokenStatement(
             name,
@@ -77,7 +81,7 @@
 
 
 def token_statements(lines: Iterable[LogLine], step_s: float) -> list[TokenStatement]:
-    """Return each account's statement every ``step_s`` seconds, and at the end of the lines."""
+    """Return each account's statement every ``step_s`` seconds and at the time of the last line."""
     ordered = sorted(lines, key=lambda line: line.time_s)
     accounts: dict[str, _Account] = {}
     found: list[TokenStatement] = []
@@ -86,21 +90,21 @@
         while line.time_s >= next_s:
             found += [each.statement(name, next_s) for name, each in sorted(accounts.items())]
             next_s += step_s
-        _read(line, accounts)
+        _read_line(line, accounts)
     if ordered:
         last_s = ordered[-1].time_s
         found += [each.statement(name, last_s) for name, each in sorted(accounts.items())]
     return found
 
 
-def _read(line: LogLine, accounts: dict[str, _Account]) -> None:
+def _read_line(line: LogLine, accounts: dict[str, _Account]) -> None:
     name = str(line.fields.get("account") or "")
     if not name:
         return
     if line.change == _END and line.fields.get("tokens"):
         _read_end(line, accounts.setdefault(name, _Account()))
-    if line.change in _TOLD and "spent" in line.fields:
-        _read_told(line, accounts.setdefault(name, _Account()))
+    if line.change in _ALLOWANCE_LINES and "spent" in line.fields:
+        _read_allowance(line, accounts.setdefault(name, _Account()))
 
 
 def _read_end(line: LogLine, account: _Account) -> None:
@@ -110,16 +114,16 @@
         account.charged_to_failed += settled
 
 
-def _read_told(line: LogLine, account: _Account) -> None:
+def _read_allowance(line: LogLine, account: _Account) -> None:
     fields = line.fields
     name = str(fields["session"])
     router = name.rpartition(".")[0]
     for other, session in account.sessions.items():
         if other != name and other.rpartition(".")[0] == router:
             session.ended = True
-    told = account.sessions.setdefault(name, _Session())
-    told.spent = int(fields["spent"])
-    told.reserved = int(fields["reserved"])
-    told.idle = int(fields["idle"])
+    current = account.sessions.setdefault(name, _Session())
+    current.spent = int(fields["spent"])
+    current.reserved = int(fields["reserved"])
+    current.idle = int(fields["idle"])
     account.limit = int(fields["limit"])
     account.unallocated = int(fields["unheld"])
--- a/src/aspengate/settings/__init__.py
+++ b/src/aspengate/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings of the daemons, read from INI files and checked whole before anything starts."""
+"""Loads the settings of the daemons from INI files and validates them before a daemon starts."""
 
 from aspengate.settings._common import number, whole_number
 from aspengate.settings._loader import (
--- a/src/aspengate/settings/_loader.py
+++ b/src/aspengate/settings/_loader.py
@@ -1,4 +1,4 @@
-"""Reads an INI file into a frozen data class whose fields say what they accept."""
+"""Loads an INI file into a data class whose fields declare how each setting is parsed."""
 
 import configparser
 import dataclasses
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class SettingField:
-    """One setting: where it stands, how it is read, and what the documentation says of it."""
+    """Describes one setting: its section and key, its parser and its documentation."""
 
     section: str
     key: str
@@ -29,25 +29,28 @@
 def setting(
     section: str,
     parse: Callable[[str], Any],
-    text: str,
+    description: str,
     *,
     accepts: str,
     unit: str = "",
     default: Any = dataclasses.MISSING,
 ) -> Any:
-    """Declare a field of a settings class; without ``default`` a value is needed."""
+    """Declare a field of a settings class; it is required if it has no ``default``.
+
+    ``accepts`` and ``description`` give the accepted values and the meaning for the documentation.
+    """
     metadata = {
         "section": section,
         "parse": parse,
         "accepts": accepts,
         "unit": unit,
-        "text": text,
+        "description": description,
     }
     return dataclasses.field(default=default, metadata=metadata)
 
 
 def address(text: str) -> str:
-    """Read ``IP:port``; raises ValueError."""
+    """Check that ``text`` is ``IP:port`` and return it; raises ValueError."""
     host, _, port = text.rpartition(":")
     ipaddress.ip_address(host.strip("[]"))
     if int(port) not in _PORTS:
@@ -56,7 +59,7 @@
 
 
 def names(text: str) -> tuple[str, ...]:
-    """Read values separated by commas; raises ValueError where there is none."""
+    """Return the values of a comma-separated list; raises ValueError if it is empty."""
     found = tuple(part.strip() for part in text.split(",") if part.strip())
     if not found:
         raise ValueError(text)
@@ -64,7 +67,7 @@
 
 
 def fields_of(settings_type: type[Any]) -> tuple[SettingField, ...]:
-    """Return the settings that a class declares."""
+    """Return the settings that a settings class declares."""
     return tuple(
         SettingField(
             section=field.metadata["section"],
@@ -72,7 +75,7 @@
             parse=field.metadata["parse"],
             accepts=field.metadata["accepts"],
             unit=field.metadata["unit"],
-            description=field.metadata["text"],
+            description=field.metadata["description"],
             default=field.default,
         )
         for field in dataclasses.fields(settings_type)
@@ -80,7 +83,10 @@
 
 
 def read_sections(path: Path) -> dict[str, dict[str, str]]:
-    """Return the text of an INI file by section and key; raises BAD_REQUEST."""
+    """Return the values of an INI file by section and key.
+
+    Raises AspengateError of kind BAD_REQUEST if the file can't be read or parsed.
+    """
     parser = configparser.ConfigParser(interpolation=None)
     try:
         parser.read_string(path.read_text(encoding="utf-8"), source=str(path))
@@ -91,21 +97,23 @@
 
 
 def load_settings(settings_type: type[_Settings], path: Path) -> _Settings:
-    """Read and check a settings file.
+    """Load and validate a settings file.
 
-    Raises AspengateError of kind BAD_REQUEST that names file, section, key and what is accepted.
+    Raises AspengateError of kind BAD_REQUEST that names the file, section, key and accepted values.
     """
     sections = read_sections(path)
     fields = {(field.section, field.key): field for field in fields_of(settings_type)}
     for section, values in sections.items():
         for key in values:
             if (section, key) not in fields:
-                raise _bad(path, section, key, "there is no such setting")
-    return settings_type(**{field.key: _value(field, sections, path) for field in fields.values()})
+                raise _error(path, section, key, "there is no such setting")
+    return settings_type(
+        **{field.key: _parse_value(field, sections, path) for field in fields.values()}
+    )
 
 
 def settings_page(title: str, settings_type: type[Any]) -> str:
-    """Return the documentation of a settings class as a Markdown table."""
+    """Return the documentation of a settings class as a Markdown section with a table."""
     lines = [
         f"## {title}",
         "",
@@ -113,7 +121,9 @@
         "|---|---|---|---|---|---|",
     ]
     for field in fields_of(settings_type):
-        default = "needed" if field.default is dataclasses.MISSING else f"`{_shown(field)}`"
+        default = (
+            "needed" if field.default is dataclasses.MISSING else f"`{_format_default(field)}`"
+        )
         lines.append(
             f"| {field.section} | {field.key} | {field.accepts} | {field.unit or '-'} "
             f"| {default} | {field.description} |"
@@ -121,25 +131,25 @@
     return "\n".join(lines) + "\n"
 
 
-def _shown(field: SettingField) -> str:
+def _format_default(field: SettingField) -> str:
     if isinstance(field.default, tuple):
         return ", ".join(field.default)
     return str(field.default) if field.default != "" else " "
 
 
-def _value(field: SettingField, sections: Mapping[str, Mapping[str, str]], path: Path) -> Any:
+def _parse_value(field: SettingField, sections: Mapping[str, Mapping[str, str]], path: Path) -> Any:
     text = sections.get(field.section, {}).get(field.key)
     if text is None or not text.strip():
         if field.default is dataclasses.MISSING:
-            raise _bad(path, field.section, field.key, f"is needed: {field.accepts}")
+            raise _error(path, field.section, field.key, f"is needed: {field.accepts}")
         return field.default
     try:
         return field.parse(text.strip())
     except ValueError:
-        raise _bad(
+        raise _error(
             path, field.section, field.key, f"{text!r} is not accepted: {field.accepts}"
         ) from None
 
 
-def _bad(path: Path, section: str, key: str, message: str) -> AspengateError:
+def _error(path: Path, section: str, key: str, message: str) -> AspengateError:
     return AspengateError(ErrorKind.BAD_REQUEST, message, where=f"{path}: [{section}] {key}")
--- a/src/aspengate/telemetry/__init__.py
+++ b/src/aspengate/telemetry/__init__.py
@@ -1,4 +1,4 @@
-"""Counters, figures for scrapers, and the log of decisions and changes of state."""
+"""Counters, Prometheus metrics, and the structured log of decisions and state changes."""
 
 from aspengate.telemetry._background_log import BackgroundLog
 from aspengate.telemetry._counters import Counters, NullCounters, StatsdCounters
--- a/src/aspengate/telemetry/_background_log.py
+++ b/src/aspengate/telemetry/_background_log.py
@@ -1,4 +1,4 @@
-"""Writes the log on a thread of its own, so that a slow reader holds nobody up."""
+"""Writes the log on a background thread, so that a slow reader of it does not block requests."""
 
 import threading
 import time
@@ -8,43 +8,43 @@
 import eliot
 import msgspec
 
-_CAPACITY = 2_000
+_DEFAULT_CAPACITY = 2_000
 _POLL_S = 0.2
 _FLUSH_S = 0.5
 
 
 class BackgroundLog:
-    """A destination of log messages: a bounded queue, and a thread that writes its lines.
+    """An eliot destination that queues messages and writes them on a background thread.
 
-    A message that finds the queue full is dropped and counted; the count is logged as soon as
-    there is room again.
+    If the queue is full, a message is dropped and counted; the next lines written include the
+    number of dropped messages. ``capacity`` is the maximum number of queued messages.
     """
 
-    def __init__(self, stream: TextIO, capacity: int = _CAPACITY) -> None:
+    def __init__(self, stream: TextIO, capacity: int = _DEFAULT_CAPACITY) -> None:
         self.stream = stream
         self.capacity = capacity
         self.dropped = 0
         self.written = 0
-        self._told = 0
+        self._reported_dropped = 0
         self._queue: deque[dict[str, Any]] = deque()
         self._wake = threading.Event()
         self._closing = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True, name="log")
 
     def start(self) -> None:
-        """Begin to take messages, and to write."""
+        """Start the writer thread and register this destination with eliot."""
         self._thread.start()
         eliot.add_destinations(self)
 
     def close(self) -> None:
-        """Take no more, and write what is there if that is soon done."""
+        """Unregister this destination and wait up to 0.5 s for queued messages to be written."""
         eliot.remove_destination(self)
         self._closing.set()
         self._wake.set()
         self._thread.join(_FLUSH_S)
 
     def __call__(self, message: dict[str, Any]) -> None:
-        """Take one message; called on whatever thread logs it."""
+        """Queue one message; called on the thread that logs it."""
         if len(self._queue) >= self.capacity:
             self.dropped += 1
             return
@@ -62,11 +62,13 @@
     def _write_all(self) -> None:
         lines = []
         while self._queue:
-            lines.append(_line(self._queue.popleft()))
-        if self.dropped > self._told:
-            lost = self.dropped - self._told
-            self._told = self.dropped
-            lines.append(_line({"message_type": "aspengate.log.dropped", "lines": lost}))
+            lines.append(_encode_line(self._queue.popleft()))
+        if self.dropped > self._reported_dropped:
+            newly_dropped = self.dropped - self._reported_dropped
+            self._reported_dropped = self.dropped
+            lines.append(
+                _encode_line({"message_type": "aspengate.log.dropped", "lines": newly_dropped})
+            )
         if not lines:
             return
         try:
@@ -79,5 +81,5 @@
         self.written += len(lines)
 
 
-def _line(message: dict[str, Any]) -> str:
+def _encode_line(message: dict[str, Any]) -> str:
     return msgspec.json.encode(message, enc_hook=str).decode() + "\n"
--- a/src/aspengate/telemetry/_counters.py
+++ b/src/aspengate/telemetry/_counters.py
@@ -1,4 +1,4 @@
-"""Counters, kept in the process and sent to a statsd server where one is set."""
+"""Counters, kept in memory and optionally sent to a statsd server."""
 
 import threading
 from collections import Counter
@@ -8,7 +8,7 @@
 
 
 class Counters(Protocol):
-    """What the daemons count with."""
+    """The interface through which the daemons record counters and durations."""
 
     def count(self, name: str, amount: int = 1) -> None:
         """Add ``amount`` to the counter ``name``."""
@@ -18,7 +18,7 @@
 
 
 class NullCounters:
-    """Counters kept in memory only; use them in tests and where no server is set."""
+    """Keeps counters in memory only, for tests and if no statsd server is configured."""
 
     def __init__(self) -> None:
         self.values: Counter[str] = Counter()
@@ -30,23 +30,23 @@
             self.values[name] += amount
 
     def timing(self, name: str, duration_ms: float) -> None:
-        """Count how many durations were recorded under ``name``."""
+        """Count the durations recorded under ``name``; the durations are not kept."""
         self.count(name)
 
 
 class StatsdCounters(NullCounters):
-    """Counters that are also sent to a statsd server by UDP."""
+    """Keeps counters in memory and also sends them to a statsd server over UDP."""
 
     def __init__(self, host: str, port: int, prefix: str) -> None:
         super().__init__()
         self._client = statsd.StatsClient(host, port, prefix=prefix)
 
     def count(self, name: str, amount: int = 1) -> None:
-        """Add ``amount`` to the counter ``name`` here and at the server."""
+        """Add ``amount`` to the counter ``name`` in memory and at the server."""
         super().count(name, amount)
         self._client.incr(name, amount)
 
     def timing(self, name: str, duration_ms: float) -> None:
-        """Send a duration, in milliseconds, to the server."""
+        """Count a duration in memory and send it, in milliseconds, to the server."""
         super().timing(name, duration_ms)
         self._client.timing(name, duration_ms)
--- a/src/aspengate/telemetry/_log.py
+++ b/src/aspengate/telemetry/_log.py
@@ -1,4 +1,4 @@
-"""The log: one structured line for each change of state."""
+"""The structured log: one JSON line for each state change or decision."""
 
 from typing import Any, TextIO
 
@@ -6,10 +6,10 @@
 
 
 def log_to_stream(stream: TextIO) -> None:
-    """Write every logged change to ``stream``, one JSON object a line."""
+    """Write every log message to ``stream``, one JSON object per line."""
     eliot.to_file(stream)
 
 
 def log_change(change: str, **fields: Any) -> None:
-    """Log that something changed state; ``change`` names what, such as ``steward.takeover``."""
+    """Log a state change; ``change`` is the event name, such as ``steward.takeover``."""
     eliot.log_message(message_type=f"aspengate.{change}", **fields)
--- a/src/aspengate/telemetry/_metrics.py
+++ b/src/aspengate/telemetry/_metrics.py
@@ -1,4 +1,4 @@
-"""Figures in the text form that scrapers read."""
+"""Metrics in the Prometheus text format."""
 
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any
@@ -13,11 +13,11 @@
 
 
 class PrometheusCounters:
-    """Counters and histograms of this process; ``render`` returns what a scraper reads.
+    """Holds the counters and histograms of this process and renders them for Prometheus.
 
     Events are counted under ``aspengate_events_total`` and durations, in milliseconds, under
-    ``aspengate_duration_milliseconds``, each with its name as a label. ``gauge_source`` is asked at
-    each scrape for what holds at that moment, under ``aspengate_state``.
+    ``aspengate_duration_milliseconds``, each with its name as a label. ``gauge_source`` is called
+    at each scrape and returns the current gauges, which are exported as ``aspengate_state``.
     """
 
     def __init__(self) -> None:
@@ -44,18 +44,18 @@
         self._durations.labels(name).observe(duration_ms)
 
     def render(self) -> bytes:
-        """Return all figures as text."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
 
 class _StateCollector:
-    """Asks for the gauges at each scrape."""
+    """Reads the gauges at each scrape."""
 
     def __init__(self, counters: PrometheusCounters) -> None:
         self._counters = counters
 
     def collect(self) -> Iterable[GaugeMetricFamily]:
-        """Yield the gauges as they stand."""
+        """Yield the current values of the gauges."""
         family = GaugeMetricFamily("aspengate_state", "What holds now, by name", labels=["what"])
         for name, value in sorted(self._counters.gauge_source().items()):
             family.add_metric([name], value)
@@ -63,13 +63,13 @@
 
 
 class MetricsApplication:
-    """A WSGI application that answers every path with the figures."""
+    """A WSGI application that returns the metrics for every path."""
 
     def __init__(self, counters: PrometheusCounters) -> None:
         self._counters = counters
 
     def __call__(self, environ: Mapping[str, Any], start_response: Any) -> Iterable[bytes]:
-        """Answer one scraper."""
+        """Handle one scrape."""
         page = self._counters.render()
         headers = [("Content-Type", _CONTENT_TYPE), ("Content-Length", str(len(page)))]
         start_response("200 OK", headers)
--- a/src/aspengate/telemetry/_threads.py
+++ b/src/aspengate/telemetry/_threads.py
@@ -1,4 +1,4 @@
-"""Threads that go on after a fault which nobody foresaw."""
+"""Threads that continue after an unexpected exception."""
 
 import threading
 from collections.abc import Callable
@@ -6,28 +6,28 @@
 from aspengate.telemetry._counters import Counters
 from aspengate.telemetry._log import log_change
 
-# How long a thread pauses after a fault, in s: one that fails each time writes ten lines a second.
-_PAUSE_S = 0.1
-# What a line tells of a fault, in characters.
-_MOST_TOLD = 300
+# The pause after an exception; a loop that fails every time logs at most 10 lines per second.
+_RESTART_DELAY_S = 0.1
+_MAX_ERROR_CHARS = 300
 
 
 def supervised_thread(run: Callable[[], None], name: str, counters: Counters) -> threading.Thread:
-    """Return a thread that runs ``run`` until it returns, and again after each fault.
+    """Return a daemon thread that calls ``run`` again after each exception, until it returns.
 
-    ``run`` is a loop that keeps its state outside of itself. Without this one message or entry
-    that was not foreseen ended what a router follows, leads or settles, while it went on serving.
+    ``run`` is a loop that keeps its state outside of its local variables. An unexpected message
+    or store entry used to end the thread that follows the store, leads a failure domain or settles
+    accounts, while the router continued to serve requests.
     """
 
-    def keep_running() -> None:
+    def run_until_return() -> None:
         while True:
             try:
                 run()
             except Exception as error:
                 counters.count("threads.faults")
-                log_change("thread.fault", thread=name, error=repr(error)[:_MOST_TOLD])
-                threading.Event().wait(_PAUSE_S)
+                log_change("thread.fault", thread=name, error=repr(error)[:_MAX_ERROR_CHARS])
+                threading.Event().wait(_RESTART_DELAY_S)
             else:
                 return
 
-    return threading.Thread(target=keep_running, daemon=True, name=name)
+    return threading.Thread(target=run_until_return, daemon=True, name=name)
