--- a/features/environment.py
+++ b/features/environment.py
@@ -1,4 +1,4 @@
-"""Set-up and tear-down of the scenarios."""
+"""Sets up and tears down the scenarios, and saves the routers' logs of failed steps."""
 
 import contextlib
 import json
@@ -29,21 +29,21 @@
     context.cleanup.close()
 
 
-def keep_lines(context, step):
-    """Write what the routers of a failed scenario logged where CI keeps it."""
+def save_router_logs(context, step):
+    """Write the routers' log lines to ASPENGATE_FAILURES, a folder that CI keeps, if it is set."""
     folder = os.environ.get("ASPENGATE_FAILURES")
     if not folder:
         return
-    place = Path(folder) / str(step.location).replace("/", "_").replace(":", "-")
-    place.mkdir(parents=True, exist_ok=True)
+    target = Path(folder) / str(step.location).replace("/", "_").replace(":", "-")
+    target.mkdir(parents=True, exist_ok=True)
     for number, router in enumerate(getattr(context.fleet, "routers", ()), 1):
         lines = "\n".join(json.dumps(line) for line in router.lines)
-        (place / f"{number}-{router.name}.log").write_text(lines, encoding="utf-8")
+        (target / f"{number}-{router.name}.log").write_text(lines, encoding="utf-8")
 
 
 def after_step(context, step):
     if step.status in ("failed", "error") and hasattr(context, "fleet"):
-        keep_lines(context, step)
+        save_router_logs(context, step)
         for router in getattr(context.fleet, "routers", ()):
             print(router.name)
             for line in router.lines:
--- a/features/steps/known_red_steps.py
+++ b/features/steps/known_red_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the list of scenarios that are known to fail."""
+"""Steps for the list of scenarios that are known to fail."""
 
 import importlib.util
 import json
@@ -8,7 +8,7 @@
 from behave import given, then, when
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-LINE = "f.feature: {} | a cause | 1"
+ENTRY = "f.feature: {} | a cause | 1"
 
 
 def load_verdict():
@@ -43,39 +43,39 @@
     context.exit_code = 1
 
 
-@then("its step is told with the end of what it said")
-def step_told(context):
+@then("its step is printed with the end of the error message")
+def step_printed(context):
     found = list(context.verdict.read_failures(context.results_text))
     assert len(found) == 1, found
     assert found[0].startswith("f.feature:3: it holds: a"), found[0][:80]
     assert found[0].endswith("ASSERT FAILED: 3 of 2") and len(found[0]) < 2_100, len(found[0])
 
 
-@when('the list names "{listed}"')
-def list_names(context, listed):
-    if listed != "nobody":
-        context.listed = LINE.format(listed)
+@when('the list contains "{listed}"')
+def list_contains(context, listed):
+    if listed != "none":
+        context.listed = ENTRY.format(listed)
 
 
-@when("the run itself ends with 1")
-def run_ends(context):
+@when("the run itself exits with 1")
+def run_exits(context):
     context.exit_code = 1
 
 
 @then("the verdict is {verdict}, with {failed:d} failed")
 def verdict_is(context, verdict, failed):
-    known = context.verdict.read_list(context.listed)
-    found = context.verdict.weigh(context.results, known, context.exit_code)
-    assert (not found.complaints) == (verdict == "green"), found
+    known = context.verdict.parse_list(context.listed)
+    found = context.verdict.evaluate(context.results, known, context.exit_code)
+    assert (not found.problems) == (verdict == "green"), found
     assert found.failed == failed, found
 
 
-@then("a list of four lines is not accepted, nor one without a cause")
-def bad_lists(context):
+@then("a list of four lines and a list without a cause are rejected")
+def bad_lists_rejected(context):
     verdict = load_verdict()
-    for text in ("\n".join([LINE.format("a")] * 4), "f.feature: a | 1"):
+    for text in ("\n".join([ENTRY.format("a")] * 4), "f.feature: a | 1"):
         try:
-            verdict.read_list(text)
+            verdict.parse_list(text)
         except ValueError:
             continue
         raise AssertionError(text)
