--- a/features/input.feature
+++ b/features/input.feature
@@ -1,26 +1,26 @@
-Feature: Bad input gets a clear error and loses nothing
+Feature: Invalid input is rejected with a clear error and loses no data
 
-  Scenario: Any bytes from a peer are a message or a clear error
+  Scenario: Any bytes from a peer decode to a message or a clear error
     When any bytes are decoded as a peer message
-    Then each is a message or an error of kind bad_request
+    Then the result is a message or an error of kind bad_request
 
-  Scenario: Every kind of message survives its wire form
+  Scenario: Every kind of message survives encoding and decoding
     When messages of every kind are encoded and decoded
-    Then each comes back as it was
+    Then each is equal to the original
 
-  Scenario: Only a known secret opens a message, also while secrets rotate
-    When a message is sealed with an old secret and with an unknown one
-    Then the old one is opened and the unknown one is refused
+  Scenario: Only a known secret opens a message, also during secret rotation
+    When one message is sealed with an old secret and one with an unknown secret
+    Then the first is opened and the second is rejected
 
-  Scenario: A table survives a spreadsheet
-    When any accepted rows are written as CSV and read again
-    Then they are the same rows
+  Scenario: A table survives a CSV round trip
+    When any valid rows are written as CSV and read again
+    Then the rows are the same
 
-  Scenario: Any text as a table is accepted or refused with a place
+  Scenario: Any text as a table is accepted or rejected with a location
     When any text is read as a table
-    Then it is rows, or an error that names a place
+    Then the result is rows or an error with a location
 
-  Scenario Outline: A bad table names the place
+  Scenario Outline: The error for an invalid table names the location
     When the table "<text>" is read
     Then the error names "<place>"
 
@@ -35,9 +35,9 @@
       | kind,name,protocol;service,s,carrier-pigeon               | line 2, column protocol   |
       | kind,name,key_hashes,budget;client_account,a,secret,b     | line 2, column key_hashes |
 
-  Scenario Outline: A bad settings file names file, section and key
+  Scenario Outline: The error for invalid settings names file, section and key
     When a router's settings have "<line>" in "<section>"
-    Then the start is refused with "<place>"
+    Then loading fails with the location "<place>"
 
     Examples:
       | section  | line            | place                |
@@ -46,10 +46,10 @@
       | fleet    | budget_shards=0 | [fleet] budget_shards |
       | instance | region =        | [instance] region    |
 
-  Scenario: The pages of settings, errors and capacity follow from the code
-    Then every page made from the code is as the code makes it
+  Scenario: The pages of settings, errors and capacity match the code
+    Then every committed page is the one that the code generates
 
-  Scenario Outline: A command that needs an extra says which one
+  Scenario Outline: A command whose extra is not installed names the extra
     When "aspengate <command>" is run where "<library>" is not installed
     Then it exits with 2 and names the extra "<extra>"
 
--- a/features/steps/input_steps.py
+++ b/features/steps/input_steps.py
@@ -1,4 +1,4 @@
-"""Steps of input.feature."""
+"""Steps for invalid input, message encoding, table files and generated pages."""
 
 import subprocess
 import sys
@@ -60,9 +60,9 @@
     context.check = check
 
 
-@then("each is a message or an error of kind bad_request")
-@then("they are the same rows")
-@then("it is rows, or an error that names a place")
+@then("the result is a message or an error of kind bad_request")
+@then("the rows are the same")
+@then("the result is rows or an error with a location")
 def run_check(context):
     context.check()
 
@@ -82,13 +82,13 @@
     ]
 
 
-@then("each comes back as it was")
-def same(context):
+@then("each is equal to the original")
+def equal_to_original(context):
     for message in context.messages:
         assert decode_message(encode_message(message)) == message
 
 
-@when("a message is sealed with an old secret and with an unknown one")
+@when("one message is sealed with an old secret and one with an unknown secret")
 def sealed(context):
     rotated = Sealer(("new", "old"))
     context.opened = rotated.open(Sealer(("old",)).seal(b"payload"))
@@ -98,7 +98,7 @@
         context.error = error
 
 
-@then("the old one is opened and the unknown one is refused")
+@then("the first is opened and the second is rejected")
 def rotated(context):
     assert context.opened == b"payload"
     assert context.error.kind is ErrorKind.UNAUTHENTICATED
@@ -133,7 +133,7 @@
 )
 
 
-@when("any accepted rows are written as CSV and read again")
+@when("any valid rows are written as CSV and read again")
 def csv_round_trip(context):
     @for_all(st.lists(ROWS, max_size=5, unique_by=lambda row: row.identity))
     def check(rows):
@@ -168,12 +168,12 @@
 
 
 @then('the error names "{place}"')
-def names(context, place):
+def error_names_place(context, place):
     assert context.error.kind is ErrorKind.BAD_REQUEST
     assert context.error.where == place, context.error.where
 
 
-GOOD = {
+VALID_SETTINGS = {
     "instance": {
         "name": "router-1",
         "listen": "127.0.0.1:8080",
@@ -189,7 +189,7 @@
 @when('a router\'s settings have "{line}" in "{section}"')
 def bad_settings(context, line, section):
     key, _, value = (part.strip() for part in line.partition("="))
-    values = {name: dict(keys) for name, keys in GOOD.items()}
+    values = {name: dict(keys) for name, keys in VALID_SETTINGS.items()}
     values[section][key] = value
     text = "\n".join(
         f"[{name}]\n" + "\n".join(f"{key} = {value}" for key, value in keys.items())
@@ -205,14 +205,14 @@
             context.error = error
 
 
-@then('the start is refused with "{place}"')
-def refused_start(context, place):
+@then('loading fails with the location "{place}"')
+def loading_fails(context, place):
     assert context.error.kind is ErrorKind.BAD_REQUEST
     assert context.error.where == f"{context.path}: {place}"
     assert context.error.message
 
 
-@then("every page made from the code is as the code makes it")
+@then("every committed page is the one that the code generates")
 def generated_pages(context):
     pages = documentation_pages(DOCS)
     assert len(pages) == 3
@@ -220,7 +220,7 @@
         assert (DOCS / path).read_text() == text, path
 
 
-WITHOUT = """
+PROGRAM_WITHOUT_LIBRARY = """
 import sys
 sys.modules[{library!r}] = None
 sys.argv = ["aspengate", *{words!r}]
@@ -231,7 +231,7 @@
 
 @when('"aspengate {command}" is run where "{library}" is not installed')
 def run_without(context, command, library):
-    program = WITHOUT.format(library=library, words=command.split())
+    program = PROGRAM_WITHOUT_LIBRARY.format(library=library, words=command.split())
     context.ended = subprocess.run(
         [sys.executable, "-c", program], capture_output=True, text=True, timeout=120
     )
@@ -244,12 +244,12 @@
     assert "Traceback" not in context.ended.stderr, context.ended.stderr
 
 
-CHECK = "import sys; from aspengate.cli import main; sys.argv[1:1] = ['check']; main()"
+CHECK_PROGRAM = "import sys; from aspengate.cli import main; sys.argv[1:1] = ['check']; main()"
 README = Path(__file__).resolve().parent.parent.parent / "README.md"
 
 
 @when("the settings file that the README shows is checked")
-def check_first(context):
+def check_readme_settings(context):
     lines = README.read_text(encoding="utf-8").splitlines()
     shown = [line[4:] for line in lines if line.startswith("    ")]
     first = shown.index("[instance]")
@@ -258,7 +258,7 @@
         path = Path(folder) / "first.ini"
         path.write_text("\n".join(shown[first : last + 1]) + "\n", encoding="utf-8")
         context.ended = subprocess.run(
-            [sys.executable, "-c", CHECK, str(path)],
+            [sys.executable, "-c", CHECK_PROGRAM, str(path)],
             capture_output=True,
             text=True,
             timeout=120,
--- a/features/steps/structure_steps.py
+++ b/features/steps/structure_steps.py
@@ -1,4 +1,4 @@
-"""Steps that read the sources themselves."""
+"""Steps that check the source files."""
 
 import ast
 import re
@@ -8,7 +8,7 @@
 
 SOURCE = Path(__file__).resolve().parent.parent.parent / "src" / "aspengate"
 PLATFORM = SOURCE / "platform"
-NAMES = (
+PLATFORM_NAMES = (
     "x-expect", "x-server-stamp", "x-not-executed", "x-token-count", "x-prefix-hash",
     "x-deadline", "x-request-priority", "x-tenant", "x-weight", "x-pin", "x-hold", "x-kv",
     "kv-", "pathprefix", "apikeys", "configversion", "sincerev", "servers/", "op/config",
@@ -16,20 +16,22 @@
     "expectedrev", "waitms", "coldremaining", "tenant", "aspengate_boot.toml",
     "server-leaving", "server-limit",
 )  # fmt: skip
-FIGURES = r"(?<![\d_.])(418_?121|515_?867|0\.817|0\.86|13_?300|3_?720|217|190_?000)(?![\d_.])"
+DEPLOYMENT_NUMBERS = (
+    r"(?<![\d_.])(418_?121|515_?867|0\.817|0\.86|13_?300|3_?720|217|190_?000)(?![\d_.])"
+)
 
 
 def sources():
     return [path for path in SOURCE.rglob("*.py") if PLATFORM not in path.parents]
 
 
-@when("the sources outside the platform's folder are searched for its names")
+@when("the sources outside the platform package are searched for the platform's names")
 def search_names(context):
     context.found = [
         (path.name, number, line.strip())
         for path in sources()
         for number, line in enumerate(path.read_text(encoding="utf-8").splitlines(), 1)
-        for name in NAMES
+        for name in PLATFORM_NAMES
         if name in line.lower()
     ]
 
@@ -47,8 +49,8 @@
             yield from (alias.name for alias in node.names)
 
 
-@when("the imports of the platform's folder are read")
-def read_imports(context):
+@when("the imports of the platform package are collected")
+def collect_imports(context):
     context.importers = {
         path.relative_to(SOURCE).as_posix()
         for path in sources()
@@ -57,56 +59,58 @@
     context.used = {name for path in PLATFORM.glob("*.py") for name in imports(path)}
 
 
-@then("nothing but the place where a gateway is put together imports it")
+@then("only the module that assembles a gateway imports the package")
 def one_importer(context):
     assert context.importers == {"deployed.py"}, context.importers
     lines = sum(len(path.read_text().splitlines()) for path in PLATFORM.glob("*.py"))
     assert lines < 800, lines
 
 
-@then("it has no threads, clocks of its own, or chance")
+@then("it imports no threads, clocks or random numbers")
 def no_threads(context):
     assert not context.used & {"time", "random", "concurrent.futures"}, context.used
 
 
-@when("the sources are searched for the figures of the deployments")
-def search_figures(context):
+@when("the sources are searched for the numbers of the deployments")
+def search_deployment_numbers(context):
     context.found = [
         (path.name, line.strip())
         for path in sources()
         if "experiments" not in path.parts
         for line in path.read_text(encoding="utf-8").splitlines()
-        if re.search(FIGURES, line)
+        if re.search(DEPLOYMENT_NUMBERS, line)
     ]
 
 
-@then("settings and configuration are the only place they come from")
-def only_settings(context):
+@then("no source file contains one")
+def no_deployment_number(context):
     assert not context.found, context.found
 
 
 ROOT = SOURCE.parent.parent
-NAMED_FILE = re.compile(r"[A-Za-z_][A-Za-z_./-]*\.md\b|(?:bench|features|deploy)/[A-Za-z_/]+\.py")
+FILE_REFERENCE = re.compile(
+    r"[A-Za-z_][A-Za-z_./-]*\.md\b|(?:bench|features|deploy)/[A-Za-z_/]+\.py"
+)
 
 
-def places_of(path):
-    """Return the folders that a name in a file may be told from."""
+def base_folders(path):
+    """Return the folders to which a file reference may be relative."""
     return (path.parent, ROOT, ROOT / "docs", ROOT / "docs" / "operate")
 
 
-@when("the pages, the deploy files and the sources are searched for the files that they name")
-def search_named_files(context):
+@when("the pages, the deploy files and the sources are searched for file references")
+def search_file_references(context):
     pages = [ROOT / "README.md", *(ROOT / "docs").rglob("*.md"), *(ROOT / "deploy").iterdir()]
     texts = [*pages, *SOURCE.rglob("*.py")]
     context.missing = [
         (path.relative_to(ROOT).as_posix(), name)
         for path in texts
         if path.is_file()
-        for name in NAMED_FILE.findall(path.read_text(encoding="utf-8"))
-        if not any((place / name).exists() for place in places_of(path))
+        for name in FILE_REFERENCE.findall(path.read_text(encoding="utf-8"))
+        if not any((folder / name).exists() for folder in base_folders(path))
     ]
 
 
-@then("each of those files is there")
-def files_are_there(context):
+@then("each of those files exists")
+def files_exist(context):
     assert not context.missing, context.missing
--- a/features/structure.feature
+++ b/features/structure.feature
@@ -1,18 +1,18 @@
-Feature: The code keeps to its borders
+Feature: The source tree keeps its module boundaries
 
-  Scenario: Only the platform's folder knows the platform's names
-    When the sources outside the platform's folder are searched for its names
+  Scenario: Only the platform package uses the platform's names
+    When the sources outside the platform package are searched for the platform's names
     Then none is found
 
-  Scenario: The platform's folder is small and decides nothing that others do
-    When the imports of the platform's folder are read
-    Then nothing but the place where a gateway is put together imports it
-    And it has no threads, clocks of its own, or chance
+  Scenario: The platform package is small and only translates
+    When the imports of the platform package are collected
+    Then only the module that assembles a gateway imports the package
+    And it imports no threads, clocks or random numbers
 
-  Scenario: No bound or size of one deployment stands in the code
-    When the sources are searched for the figures of the deployments
-    Then settings and configuration are the only place they come from
+  Scenario: No limit or size of one deployment is hard-coded
+    When the sources are searched for the numbers of the deployments
+    Then no source file contains one
 
-  Scenario: Every page and script that is named exists
-    When the pages, the deploy files and the sources are searched for the files that they name
-    Then each of those files is there
+  Scenario: Every page and script that is referred to exists
+    When the pages, the deploy files and the sources are searched for file references
+    Then each of those files exists
--- a/src/aspengate/cli/__init__.py
+++ b/src/aspengate/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: ``aspengate``."""
+"""The command-line interface of ``aspengate``, and the pages generated from the code."""
 
 from aspengate.cli._main import main
 from aspengate.cli._pages import documentation_pages
--- a/src/aspengate/cli/_daemons.py
+++ b/src/aspengate/cli/_daemons.py
@@ -1,4 +1,4 @@
-"""The subcommands that run one process of the fleet or one stand-in."""
+"""The subcommands that run one process of the fleet or one stand-in, or check its settings."""
 
 import signal
 import sys
@@ -16,15 +16,15 @@
 from aspengate.telemetry import Counters, NullCounters, StatsdCounters, log_to_stream
 
 _SettingsFile = Annotated[Path, cappa.Arg(long="--settings", help="INI file of this process")]
-_DRAIN_MS = 600_000.0
+_DRAIN_TIMEOUT_MS = 600_000.0
 _STAND_IN_THREADS = 128
-_MAX_BODY = 16 * 1024 * 1024
+_MAX_BODY_BYTES = 16 * 1024 * 1024
 
 
 @cappa.command(description="Run the router of an entry instance.")
 @dataclass
 class Router:
-    """Run until SIGTERM, then finish what is in progress."""
+    """Run until SIGTERM or SIGINT, then finish the requests in progress."""
 
     settings: _SettingsFile
 
@@ -42,13 +42,13 @@
             SystemClock(),
             _counters(settings.statsd, "aspengate.router"),
         )
-        _run(router)
+        _run_until_stopped(router)
 
 
 @cappa.command(description="Run the gateway of a shared platform.")
 @dataclass
 class Gateway:
-    """Run until SIGTERM, then finish what is in progress."""
+    """Run until SIGTERM or SIGINT, then finish the requests in progress."""
 
     settings: _SettingsFile
 
@@ -62,7 +62,7 @@
 @cappa.command(description="Run the agent beside an upstream.")
 @dataclass
 class Agent:
-    """Run until SIGTERM, then finish what is in progress."""
+    """Run until SIGTERM or SIGINT, then finish the requests in progress."""
 
     settings: _SettingsFile
 
@@ -79,13 +79,13 @@
             SystemClock(),
             _counters(settings.statsd, "aspengate.agent"),
         )
-        _run(agent)
+        _run_until_stopped(agent)
 
 
-@cappa.command(name="stand-in", description="Run a stand-in of the platform, for trials by hand.")
+@cappa.command(name="stand-in", description="Run a stand-in of the platform, for manual tests.")
 @dataclass
 class StandIn:
-    """Run one stand-in until SIGTERM."""
+    """Run one stand-in until SIGTERM or SIGINT."""
 
     kind: Annotated[str, cappa.Arg(help="store, instances, engine or service")]
     settings: _SettingsFile
@@ -97,27 +97,27 @@
 
         settings = load_settings(StandInSettings, self.settings)
         application = make_stand_in(self.kind, settings)
-        server = WsgiServer(application, settings.listen, _STAND_IN_THREADS, _MAX_BODY)
+        server = WsgiServer(application, settings.listen, _STAND_IN_THREADS, _MAX_BODY_BYTES)
         server.start()
         sys.stderr.write(f"{self.kind} at {server.address}\n")
-        _wait_for_signal()
+        _wait_until_stopped()
         server.close()
 
 
 @cappa.command(description="Check a settings file of a gateway, router, agent or stand-in.")
 @dataclass
 class Check:
-    """Read a file as its daemon would, and say what is wrong with it."""
+    """Load a settings file as its daemon does, and report the first error."""
 
     file: Annotated[Path, cappa.Arg(help="INI file")]
 
     def __call__(self) -> None:
         """Check the file."""
-        load_settings(_settings_type(self.file), self.file)
+        load_settings(_settings_type_of(self.file), self.file)
         sys.stdout.write(f"{self.file}: accepted\n")
 
 
-def _settings_type(path: Path) -> type[Any]:
+def _settings_type_of(path: Path) -> type[Any]:
     from aspengate.agent import AgentSettings
     from aspengate.gateway import GatewaySettings
     from aspengate.router import RouterSettings
@@ -138,18 +138,18 @@
     return StatsdCounters(host, int(port), prefix)
 
 
-def _run(process: Any) -> None:
+def _run_until_stopped(process: Any) -> None:
     log_to_stream(sys.stderr)
     process.start()
-    _wait_for_signal(lambda: bool(getattr(process, "fenced", False)))
-    if not process.leave(_DRAIN_MS):
-        raise AspengateError(ErrorKind.INTERNAL, "stopped before everything was finished")
+    _wait_until_stopped(lambda: bool(getattr(process, "fenced", False)))
+    if not process.leave(_DRAIN_TIMEOUT_MS):
+        raise AspengateError(ErrorKind.INTERNAL, "stopped before all requests were finished")
 
 
-def _wait_for_signal(ended: Callable[[], bool] = lambda: False) -> None:
+def _wait_until_stopped(has_ended: Callable[[], bool] = lambda: False) -> None:
     stop = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: stop.set())
     while not stop.wait(0.2):
-        if ended():
+        if has_ended():
             return
--- a/src/aspengate/cli/_demo.py
+++ b/src/aspengate/cli/_demo.py
@@ -1,4 +1,4 @@
-"""``aspengate demo``: the whole fleet in one process, with failures."""
+"""``aspengate demo``: runs the whole fleet in one process and injects failures."""
 
 import sys
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 @cappa.command(description="Run every role and the stand-ins in this process, with failures.")
 @dataclass
 class Demo:
-    """Run both users' workloads for a while and report; exit 0 only if every rule held."""
+    """Run the workloads for ``seconds`` and print a report; exit with 1 if a rule was violated."""
 
     seconds: Annotated[int, cappa.Arg(long="--seconds", help="how long to send requests")] = 20
     seed: Annotated[int, cappa.Arg(long="--seed", help="seed of the workload")] = 1
@@ -24,4 +24,4 @@
         report = run_demonstration(self.seconds, self.seed, progress=progress)
         sys.stdout.write(report.to_json() if self.as_json else report.to_text())
         if not report.all_held:
-            raise cappa.Exit("a rule did not hold", code=1)
+            raise cappa.Exit("a rule was violated", code=1)
--- a/src/aspengate/cli/_explain.py
+++ b/src/aspengate/cli/_explain.py
@@ -1,4 +1,4 @@
-"""The subcommand that explains one request from logs."""
+"""``aspengate explain``: prints the trace of one request from logs."""
 
 import sys
 from collections.abc import Iterable
@@ -13,26 +13,26 @@
 from aspengate.losses import describe_end
 
 
-@cappa.command(description="Tell what happened to one request, from the logs of routers.")
+@cappa.command(description="Print the trace of one request from the logs of routers.")
 @dataclass
 class Explain:
-    """Print the request's ends in order, with what its routers believed at that time."""
+    """Print the request's log lines in order, with the state of its routers at that time."""
 
-    request_id: Annotated[str, cappa.Arg(help="the request's id")]
+    request_id: Annotated[str, cappa.Arg(help="id of the request")]
     logs: Annotated[list[Path], cappa.Arg(num_args=-1, help="log files, one for each router")]
 
     def __call__(self) -> None:
-        """Print the story; exit 1 where no log speaks of the request."""
+        """Print the trace; raises NOT_FOUND if no log line has the request's id."""
         lines = read_logs(self.logs)
-        told = [
+        report = [
             *trace_request(self.request_id, lines).lines(),
             describe_end(self.request_id, lines),
         ]
-        sys.stdout.write("\n".join(each for each in told if each) + "\n")
+        sys.stdout.write("\n".join(each for each in report if each) + "\n")
 
 
 def read_logs(paths: Iterable[Path]) -> list[LogLine]:
-    """Return the lines of log files; raises BAD_REQUEST for one that can't be read."""
+    """Return the parsed lines of log files; raises BAD_REQUEST if a file can't be read."""
     lines: list[LogLine] = []
     for path in paths:
         try:
--- a/src/aspengate/cli/_invoice.py
+++ b/src/aspengate/cli/_invoice.py
@@ -1,4 +1,4 @@
-"""``aspengate invoice``: what an account was billed."""
+"""``aspengate invoice``: prints the charges of a client account."""
 
 import csv
 import sys
@@ -11,10 +11,10 @@
 from aspengate.cli._table import open_editor
 
 
-@cappa.command(description="Print what a client account was billed: totals, and items if any.")
+@cappa.command(description="Print the charges of a client account: totals, and items if any.")
 @dataclass
 class Invoice:
-    """Print an invoice as text or CSV."""
+    """Print an invoice as text or as CSV."""
 
     account: Annotated[str, cappa.Arg(help="name of the client account")]
     store: Annotated[str, cappa.Arg(long="--store", help="address of the store, IP:port")]
--- a/src/aspengate/cli/_losses.py
+++ b/src/aspengate/cli/_losses.py
@@ -1,4 +1,4 @@
-"""The subcommand that tells from logs what requests lost their worth by."""
+"""``aspengate losses``: reports from logs why requests failed or were late."""
 
 import sys
 from dataclasses import dataclass
@@ -13,17 +13,20 @@
 
 
 @cappa.command(
-    description="Tell from routers' logs which requests lost what, and where tokens went."
+    description="Report from routers' logs why requests failed or were late, and the use of tokens."
 )
 @dataclass
 class Losses:
-    """Print lost requests by reason, time, service, account, replica; and where tokens went."""
+    """Print failed and late requests by reason and property, and the use of tokens over time."""
 
     logs: Annotated[list[Path], cappa.Arg(num_args=-1, help="log files of routers")]
-    step_s: Annotated[float, cappa.Arg(long="--step", help="seconds between two rows")] = 2.0
+    step_s: Annotated[float, cappa.Arg(long="--step", help="seconds per row")] = 2.0
 
     def __call__(self) -> None:
-        """Print the report; raises BAD_REQUEST for a log without lines or a wrong step."""
+        """Print the report.
+
+        Raises BAD_REQUEST if the files have no line of a router or the step is not above 0.
+        """
         if self.step_s <= 0:
             raise AspengateError(ErrorKind.BAD_REQUEST, "must be above 0", where="--step")
         lines = read_logs(self.logs)
--- a/src/aspengate/cli/_main.py
+++ b/src/aspengate/cli/_main.py
@@ -18,14 +18,16 @@
 
 _USAGE_EXIT = 2
 _FAILURE_EXIT = 1
-# The extra of this package that brings each library which a plain installation lacks.
-_EXTRA_OF = {"z3": "verify", "matplotlib": "plot"}
+# Optional libraries, with the extra of this package that installs each of them.
+_EXTRA_BY_LIBRARY = {"z3": "verify", "matplotlib": "plot"}
 
 
-@cappa.command(name="aspengate", description="Routes requests of tiny services, within budgets.")
+@cappa.command(
+    name="aspengate", description="Route requests of many small services within budgets."
+)
 @dataclass
 class Aspengate:
-    """The whole command."""
+    """Groups all subcommands."""
 
     command: cappa.Subcommands[
         Router
@@ -45,15 +47,18 @@
 
 
 def main() -> None:
-    """Run the command line; exit 2 on bad input or settings, 1 on other failures."""
+    """Run the command line.
+
+    Exits with 2 on bad input, bad settings or a missing library, and with 1 on other errors.
+    """
     try:
         cappa.invoke(Aspengate, version=__version__)
     except AspengateError as error:
         sys.stderr.write(f"aspengate: {error.kind.value}: {error}\n")
-        bad = error.kind in {ErrorKind.BAD_REQUEST, ErrorKind.TOO_LARGE}
-        sys.exit(_USAGE_EXIT if bad else _FAILURE_EXIT)
+        is_usage_error = error.kind in {ErrorKind.BAD_REQUEST, ErrorKind.TOO_LARGE}
+        sys.exit(_USAGE_EXIT if is_usage_error else _FAILURE_EXIT)
     except ModuleNotFoundError as error:
-        extra = _EXTRA_OF.get(error.name or "")
+        extra = _EXTRA_BY_LIBRARY.get(error.name or "")
         if extra is None:
             raise
         sys.stderr.write(
--- a/src/aspengate/cli/_table.py
+++ b/src/aspengate/cli/_table.py
@@ -1,7 +1,7 @@
-"""``aspengate table``: the operators' table from the command line.
+"""``aspengate table``: shows and edits the operators' table.
 
-These commands talk to the store, with the rights that reaching it gives; over HTTP an operator's
-key decides.
+These commands access the store directly, so access to the store is the only permission that they
+need. Over HTTP, the operator's key decides.
 """
 
 import getpass
@@ -33,12 +33,12 @@
     int, cappa.Arg(long="--budget-shards", help="as in the routers' settings", default=4)
 ]
 _Actor = Annotated[
-    str | None, cappa.Arg(long="--actor", help="who is named in the history", default=None)
+    str | None, cappa.Arg(long="--actor", help="name of the editor in the history", default=None)
 ]
 
 
 def open_editor(store: str, shards: int) -> TableEditor:
-    """Return the editor of the table in a store; raises BAD_REQUEST for a bad address."""
+    """Return an editor of the table in a store; raises BAD_REQUEST for a bad address."""
     try:
         address(store)
     except ValueError:
@@ -78,7 +78,7 @@
     def __call__(self) -> None:
         """Change the row."""
         editor = open_editor(self.store, self.budget_shards)
-        before = _find(editor.rows(), self.kind, self.name)
+        before = _find_row(editor.rows(), self.kind, self.name)
         cells = row_to_cells(before) if before else {"kind": self.kind, "name": self.name}
         for cell in self.cells:
             column, separator, text = cell.partition("=")
@@ -86,7 +86,7 @@
                 raise AspengateError(ErrorKind.BAD_REQUEST, "must be COLUMN=VALUE", where=cell)
             cells[column] = text
         after = row_from_cells(cells, where=f"{self.kind} {self.name}")
-        version = editor.change((RowChange(before, after),), _actor(self.actor))
+        version = editor.change((RowChange(before, after),), _actor_name(self.actor))
         sys.stdout.write(f"accepted; the table is at version {version}\n")
 
 
@@ -104,19 +104,19 @@
     def __call__(self) -> None:
         """Remove the row."""
         editor = open_editor(self.store, self.budget_shards)
-        before = _find(editor.rows(), self.kind, self.name)
+        before = _find_row(editor.rows(), self.kind, self.name)
         if before is None:
             raise AspengateError(
                 ErrorKind.NOT_FOUND, "there is no such row", where=f"{self.kind} {self.name}"
             )
-        version = editor.change((RowChange(before, None),), _actor(self.actor))
+        version = editor.change((RowChange(before, None),), _actor_name(self.actor))
         sys.stdout.write(f"accepted; the table is at version {version}\n")
 
 
 @cappa.command(name="import", description="Make the table hold exactly the rows of a CSV file.")
 @dataclass
 class Import:
-    """Replace the table; nothing changes where any row is wrong."""
+    """Replace the table; nothing changes if any row is invalid."""
 
     file: Annotated[Path, cappa.Arg(help="CSV file")]
     store: _Store
@@ -134,7 +134,7 @@
         except (OSError, UnicodeDecodeError) as error:
             raise AspengateError(ErrorKind.BAD_REQUEST, str(error), where=str(self.file)) from error
         editor = open_editor(self.store, self.budget_shards)
-        version = editor.replace(rows_from_csv(text), _actor(self.actor), self.if_version)
+        version = editor.replace(rows_from_csv(text), _actor_name(self.actor), self.if_version)
         sys.stdout.write(f"accepted; the table is at version {version}\n")
 
 
@@ -155,7 +155,9 @@
         sys.stdout.write(f"{self.file}: version {version}\n")
 
 
-@cappa.command(description="Print who changed what, the latest last, as one JSON object a line.")
+@cappa.command(
+    description="Print the changes with their authors, the latest last, one JSON object per line."
+)
 @dataclass
 class History:
     """Print the audit trail of the table and of the budgets' limits."""
@@ -164,7 +166,7 @@
     budget_shards: _Shards = 4
 
     def __call__(self) -> None:
-        """Print the trail."""
+        """Print the audit trail."""
         editor = open_editor(self.store, self.budget_shards)
         entries = [
             (entry.changed_ms, msgspec.json.encode(entry)) for entry in editor.storage.history()
@@ -178,7 +180,7 @@
             sys.stdout.write(f"{line.decode()}\n")
 
 
-@cappa.command(description="Print the version in force in each router, as one of them knows it.")
+@cappa.command(description="Print the version in force in each router, as reported by one router.")
 @dataclass
 class Status:
     """Ask a router for the status of the fleet."""
@@ -213,16 +215,16 @@
 @cappa.command(description="Show and edit the operators' table.")
 @dataclass
 class Table:
-    """Everything about the table."""
+    """Groups the subcommands for the table."""
 
     command: cappa.Subcommands[
         Show | SetRow | Remove | Import | Export | History | Status | HashKey
     ]
 
 
-def _actor(named: str | None) -> str:
+def _actor_name(named: str | None) -> str:
     return named or getpass.getuser()
 
 
-def _find(rows: tuple[AnyRow, ...], kind: str, name: str) -> AnyRow | None:
+def _find_row(rows: tuple[AnyRow, ...], kind: str, name: str) -> AnyRow | None:
     return next((row for row in rows if row.identity == (kind, name)), None)
