--- a/features/input.feature
+++ b/features/input.feature
@@ -50,7 +50,7 @@
     Then every committed page is the one that the code generates
 
   Scenario Outline: A command whose extra is not installed names the extra
-    When "aspengate <command>" is run where "<library>" is not installed
+    When "aspengate <command>" is run without "<library>" installed
     Then it exits with 2 and names the extra "<extra>"
 
     Examples:
--- a/features/steps/input_steps.py
+++ b/features/steps/input_steps.py
@@ -229,7 +229,7 @@
 """
 
 
-@when('"aspengate {command}" is run where "{library}" is not installed')
+@when('"aspengate {command}" is run without "{library}" installed')
 def run_without(context, command, library):
     program = PROGRAM_WITHOUT_LIBRARY.format(library=library, words=command.split())
     context.ended = subprocess.run(
--- a/src/aspengate/cli/_pages.py
+++ b/src/aspengate/cli/_pages.py
@@ -60,7 +60,7 @@
 
 
 _MEANINGS: dict[ErrorKind, str] = {
-    ErrorKind.BAD_REQUEST: "the request can't be read; the message names the place",
+    ErrorKind.BAD_REQUEST: "the request can't be parsed; the message names the location",
     ErrorKind.UNAUTHENTICATED: "no key, or a key that is not in the table",
     ErrorKind.FORBIDDEN: "the operator may read but not edit",
     ErrorKind.NOT_FOUND: "no such service, budget or page",
@@ -79,7 +79,7 @@
     ErrorKind.QUARANTINED: "too many replicas crashed while running this request; it is rejected",
     ErrorKind.DEADLINE_EXCEEDED: "the deadline passed before the request started",
     ErrorKind.LEAVING: "this router or agent is being stopped",
-    ErrorKind.FENCED: "the funds or claim of the request had expired; the router was told to stop",
+    ErrorKind.FENCED: "the funds or claim of the request expired; the router was ordered to stop",
     ErrorKind.UPSTREAM_FAILED: "the upstream failed during the run; nothing is billed",
     ErrorKind.CLAIM_UNAVAILABLE: "it is unknown whether the key was used; retry with the same key",
     ErrorKind.OUTCOME_UNKNOWN: "the request may have run; with a key, a retry returns the outcome",
--- a/src/aspengate/cli/_table.py
+++ b/src/aspengate/cli/_table.py
@@ -113,7 +113,7 @@
         sys.stdout.write(f"accepted; the table is at version {version}\n")
 
 
-@cappa.command(name="import", description="Make the table hold exactly the rows of a CSV file.")
+@cappa.command(name="import", description="Replace the table by the rows of a CSV file.")
 @dataclass
 class Import:
     """Replace the table; nothing changes if any row is invalid."""
