--- a/features/steps/crashes_steps.py
+++ b/features/steps/crashes_steps.py
@@ -11,8 +11,8 @@
 from platform_standins.fleet import eventually
 
 from aspengate.crashes import request_fingerprint
-from aspengate.explanation import read_lines, tell_story
-from aspengate.losses import cause_of
+from aspengate.explanation import read_lines, trace_request
+from aspengate.losses import describe_end
 from gateway_world import TOKENS, start_gateways
 
 
@@ -102,11 +102,11 @@
     ends = eventually(lambda: len(found := context.router.find_all("request.ended")) == 4 and found)
     lines = [json.dumps(line) for line in context.router.lines]
     log = read_lines("router-1", lines)
-    trace = "\n".join(tell_story(ends[-1]["request_id"], log).lines())
-    cause = cause_of(ends[-1]["request_id"], log)
+    trace = "\n".join(trace_request(ends[-1]["request_id"], log).lines())
+    cause = describe_end(ends[-1]["request_id"], log)
     for identity in ended:
         assert f"replica.ended  replica={identity}" in trace, trace
-        assert f"{identity} " in cause and "as router-1 saw" in cause, cause
+        assert f"{identity} " in cause and "detected by router-1" in cause, cause
 
 
 @given("requests of two accounts with paths and bodies of any kind")
