--- a/features/soak/__init__.py
+++ b/features/soak/__init__.py
@@ -1,7 +1,7 @@
-"""A randomized run of real gateways under faults from outside, with what must hold checked."""
+"""A randomized soak test: real gateway processes, injected faults, and invariants to check."""
 
+from soak.invariants import find_violations
 from soak.plan import Fault, draw_plan
-from soak.promises import broken_promises
-from soak.run import Soak
+from soak.run import SoakRun
 
-__all__ = ["Fault", "Soak", "broken_promises", "draw_plan"]
+__all__ = ["Fault", "SoakRun", "draw_plan", "find_violations"]
--- a/features/soak/__main__.py
+++ b/features/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Plays seeds one after the other: python -m soak --seeds 1-20 --seconds 30 --routers 4."""
+"""Runs soak tests for a range of seeds: python -m soak --seeds 1-20 --seconds 30 --routers 4."""
 
 import argparse
 import json
@@ -7,7 +7,7 @@
 
 from platform_standins.builds import earlier_build
 
-from soak import Soak, broken_promises
+from soak import SoakRun, find_violations
 
 
 def main():
@@ -17,33 +17,36 @@
     parser.add_argument("--routers", type=int, default=4)
     parser.add_argument("--callers", type=int, default=16)
     parser.add_argument("--prepaid", type=int, default=2_000_000, help="tokens")
-    parser.add_argument("--earlier", help="commit of another build to begin with and go back to")
-    parser.add_argument("--restored", action="store_true", help="the store comes back from copies")
-    parser.add_argument("--logs", type=Path, help="folder for the lines of runs that broke one")
-    chosen = parser.parse_args()
-    first, _, last = chosen.seeds.partition("-")
+    parser.add_argument("--earlier", help="commit of the build to upgrade from and roll back to")
+    parser.add_argument("--restored", action="store_true", help="restore the store from copies")
+    parser.add_argument("--logs", type=Path, help="folder for the logs of failed runs")
+    options = parser.parse_args()
+    first, _, last = options.seeds.partition("-")
     failed = 0
-    earlier = earlier_build(chosen.earlier) if chosen.earlier else None
-    if chosen.earlier and earlier is None:
-        parser.error(f"the history does not hold {chosen.earlier}")
+    earlier = earlier_build(options.earlier) if options.earlier else None
+    if options.earlier and earlier is None:
+        parser.error(f"the history does not hold {options.earlier}")
     for seed in range(int(first), int(last or first) + 1):
-        size = (chosen.routers, chosen.callers, chosen.prepaid)
-        soak = Soak(seed, chosen.seconds, *size, earlier=earlier, restored=chosen.restored).play()
-        broken = broken_promises(soak)
+        size = (options.routers, options.callers, options.prepaid)
+        soak = SoakRun(
+            seed, options.seconds, *size, earlier=earlier, restored=options.restored
+        ).run()
+        violations = find_violations(soak)
         if not soak.figures["recovered"]:
-            broken.append("not all gateways serve by the newest configuration at the end")
-        failed += bool(broken)
-        print(seed, "BROKEN" if broken else "kept", json.dumps(soak.figures), flush=True)
-        for line in broken[:5]:
+            violations.append("not all gateways serve by the newest configuration at the end")
+        failed += bool(violations)
+        print(seed, "BROKEN" if violations else "kept", json.dumps(soak.figures), flush=True)
+        for line in violations[:5]:
             print("   ", line, flush=True)
-        if broken and chosen.logs:
-            keep_logs(soak, chosen.logs / str(seed))
+        if violations and options.logs:
+            write_logs(soak, options.logs / str(seed))
     return 1 if failed else 0
 
 
-def keep_logs(soak, folder):
+def write_logs(soak, folder):
+    """Write the fault schedule and the log lines of each router to a folder."""
     folder.mkdir(parents=True, exist_ok=True)
-    plan = "\n".join(fault.told() for fault in soak.plan)
+    plan = "\n".join(fault.describe() for fault in soak.plan)
     (folder / "plan.txt").write_text(plan, encoding="utf-8")
     for router in soak.fleet.routers:
         lines = "\n".join(json.dumps(line) for line in router.lines)
--- a/features/soak/run.py
+++ b/features/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays a plan on real gateways, with callers that go on calling."""
+"""Runs a fault schedule against real gateway processes under constant load from callers."""
 
 import contextlib
 import itertools
@@ -14,53 +14,69 @@
 
 from soak.plan import draw_plan, draw_restored, draw_upgrade
 
-ENDED_S = 20.0
-RECOVERED_S = 60.0
-PACE_S = 0.12
+CALLER_JOIN_TIMEOUT_S = 20.0
+RECOVERY_TIMEOUT_S = 60.0
+# Upper limit of the random pause between two requests of a caller.
+MAX_PAUSE_S = 0.12
 STALL_S = 1.2
 DRAIN_S = 2.0
-REST_S = 1.5
+BACKOFF_S = 1.5
 LAPSE_S = 0.4
-ASKED_S = 1.0
-# How long a store that comes back from a copy is away, and until its writers have written again.
-AWAY_S = 0.5
-WRITTEN_AGAIN_S = 0.7
-# A record says that its replica leaves so much later at least than its answers do.
-RECORDED_LATE_S = 3.0
-# Prompts of so many kinds, so that each engine is somebody's first choice.
-MOST_PARTS = 12
+# The busiest replica is the one with the most requests in this time.
+BUSY_WINDOW_S = 1.0
+# How long the store is unavailable before it is restored, and how long after that its writers
+# write their lost values again.
+RESTORE_OUTAGE_S = 0.5
+REWRITE_DELAY_S = 0.7
+# A replica's record says that it is leaving at least this much later than its responses do.
+RECORD_DELAY_S = 3.0
+# Number of distinct shared prompt segments. There are enough that each engine is the preferred
+# replica of some requests.
+SHARED_SEGMENTS = 12
+# Prompt tokens and maximum output tokens of a request.
 TOKENS = (400, 60)
-PATHS = (("GET", "/receipt", "portal"), ("POST", "/status", "portal"), ("POST", "/score", "engine"))
+# Method, path prefix and service of the requests that callers send.
+REQUEST_KINDS = (
+    ("GET", "/receipt", "portal"),
+    ("POST", "/status", "portal"),
+    ("POST", "/score", "engine"),
+)
 _numbers = itertools.count(1)
 
 
 @dataclass
 class Call:
-    """One request of a caller; ``status`` is 0 where no answer came.
+    """Records one request of a caller and its response.
 
-    ``router`` is the process that got it; ``leaving`` tells what the answer said of its replica.
+    ``status`` is 0 if no response came. ``at_most_once`` marks requests that must not be retried.
+    ``router`` is the process that received the request, ``leaving`` whether the response said that
+    its replica is leaving. Times are of the monotonic clock.
     """
 
-    identity: str
+    request_id: str
     path: str
     service: str
     sent_s: float
-    once: bool
+    at_most_once: bool
     status: int = 0
-    whole: bool = False
+    is_complete: bool = False
     body: bytes = b""
-    events: list = field(default_factory=list)
+    event_ids: list = field(default_factory=list)
     router: object = None
     ended_s: float = 0.0
     leaving: bool = False
 
 
-class Soak:
-    """One run; ``calls`` are what callers sent and got, ``figures`` what the checks counted.
+class SoakRun:
+    """Runs one fault schedule and records what the invariants are checked against.
 
-    With ``earlier``, the folder of another build, all routers begin with that one, are replaced one
-    after the other, and back. ``frozen`` are the processes that were stopped, from when to when.
-    Where it is ``restored`` the store comes back from copies of itself.
+    ``calls`` are the requests of all callers, ``injected`` the faults that were injected,
+    ``stopped_spans`` the router processes that were stopped (SIGSTOP) with start and end, and
+    ``figures`` the counts that are printed at the end.
+
+    With ``earlier``, the folder of another build, all routers start with that build, are replaced
+    by the current one in turn, and are rolled back. With ``restored`` the store is repeatedly
+    replaced by an earlier copy of itself.
     """
 
     def __init__(
@@ -74,49 +90,56 @@
         *,
         restored=False,
     ):
-        self.seed, self.seconds, self.size, self.callers = seed, seconds, routers, callers
-        # A small ratio: callers ask so often that a usual one would hide what the slack allows.
-        self.ratio, self.slack, self.window_s, self.events = 0.02, 40, 10, 5
+        self.seed, self.seconds = seed, seconds
+        self.router_count, self.caller_count = routers, callers
+        # The ratio is small because callers send so many requests that a usual ratio would hide
+        # the effect of the slack.
+        self.retry_ratio, self.retry_slack, self.retry_window_s = 0.02, 40, 10
+        self.stream_events = 5
         self.prepaid = prepaid
         self.earlier = earlier
         self.builds = [earlier or ROOT] * routers
         draw = draw_upgrade if earlier else draw_restored if restored else draw_plan
-        self.coming_back = False
+        self.restoring = False
         self.plan = draw(seed, seconds, routers)
-        self.frozen = []
-        self.calls, self.figures, self.happened = [], {}, []
-        self.begun_s = 0.0
+        self.stopped_spans = []
+        self.calls, self.figures, self.injected = [], {}, []
+        self.started_s = 0.0
         self._ended = threading.Event()
         self._lock = threading.Lock()
-        self._stopped = {}
+        self._stopped_routers = {}
 
-    def play(self):
-        """Play the plan; the fleet is gone afterwards, what was seen stays."""
+    def run(self):
+        """Run the schedule and return self. The fleet is stopped on return; the records stay."""
         with contextlib.ExitStack() as cleanup:
             self.fleet = Fleet(cleanup)
-            cleanup.callback(self._wake_all)
+            cleanup.callback(self._resume_all)
             self._start()
-            self.begun_s = time.monotonic()
+            self.started_s = time.monotonic()
             callers = [
-                threading.Thread(target=self._call_on, args=(number,), daemon=True)
-                for number in range(self.callers)
+                threading.Thread(target=self._run_caller, args=(number,), daemon=True)
+                for number in range(self.caller_count)
             ]
             for thread in callers:
                 thread.start()
-            self._strike()
-            self.figures["recovered"] = self._recovers()
+            self._inject_faults()
+            self.figures["recovered"] = self._recover()
             self._ended.set()
             for thread in callers:
-                thread.join(ENDED_S)
-        served = sum(1 for call in self.calls if call.status == 200 and call.whole)
+                thread.join(CALLER_JOIN_TIMEOUT_S)
+        served = sum(1 for call in self.calls if call.status == 200 and call.is_complete)
         self.figures["calls"], self.figures["served"] = len(self.calls), served
         return self
 
-    def moment(self, at_s):
-        """Return when something was, and the faults in force then."""
-        since = at_s - self.begun_s
-        near = [each.told() for each in self.plan if each.at_s <= since <= each.at_s + each.for_s]
-        return f"at {since:.2f} s, in force: {near}"
+    def describe_moment(self, at_s):
+        """Return a time of the monotonic clock as time since the start, with the active faults."""
+        since_s = at_s - self.started_s
+        active = [
+            fault.describe()
+            for fault in self.plan
+            if fault.start_s <= since_s <= fault.start_s + fault.duration_s
+        ]
+        return f"at {since_s:.2f} s, in force: {active}"
 
     def _start(self):
         self.fleet.operator.change(allow_second_replica)
@@ -124,285 +147,308 @@
         for service, count in (("portal", 3), ("engine", 3)):
             for _ in range(count):
                 self.add_replica(service)
-        # In every other run the settings name only instances that are gone.
+        # With an even seed, the settings list only peer addresses of instances that are gone.
         hosts = range(11, 14) if self.seed % 2 else range(211, 214)
-        self.seeds = ",".join(f"127.0.0.{number}:1" for number in hosts)
+        self.seed_addresses = ",".join(f"127.0.0.{number}:1" for number in hosts)
         for build in self.builds:
-            self.fleet.add_router(ready=False, seeds=self.seeds, build=build, **self._bounds())
+            self.fleet.add_router(
+                ready=False, seeds=self.seed_addresses, build=build, **self._retry_settings()
+            )
         assert eventually(lambda: all(each.is_ready() for each in self.fleet.routers))
 
     def add_replica(self, service, **fields):
-        """Have a replica start; in a run with two builds all say when they did."""
+        """Start a replica. In upgrade runs its record holds its start time."""
         if self.earlier:
             fields["born"] = int(time.time() * 1_000)
-        return self.fleet.add_replica(service, events=self.events, work_s=0.005, **fields)
+        return self.fleet.add_replica(service, events=self.stream_events, work_s=0.005, **fields)
 
-    def sound(self, service):
-        """Return a service's replicas that have neither ended nor said that they leave."""
+    def healthy_replicas(self, service):
+        """Return a service's replicas that have neither ended nor reported that they leave."""
         return [each for each in list(self.fleet.of(service)) if not each.gone and not each.leaving]
 
-    def _bounds(self):
+    def _retry_settings(self):
         return {
-            "retry_ratio": self.ratio,
-            "retry_slack": self.slack,
-            "retry_window_s": self.window_s,
+            "retry_ratio": self.retry_ratio,
+            "retry_slack": self.retry_slack,
+            "retry_window_s": self.retry_window_s,
             "retry_start_ms": 1_500,
             "stop_s": 3,
         }
 
-    def _strike(self):
+    def _inject_faults(self):
         for fault in self.plan:
-            time.sleep(max(0.0, self.begun_s + fault.at_s - time.monotonic()))
-            self.happened.append(fault)
-            STRIKES[fault.kind](self, fault)
-        time.sleep(max(0.0, self.begun_s + self.seconds - time.monotonic()))
+            time.sleep(max(0.0, self.started_s + fault.start_s - time.monotonic()))
+            self.injected.append(fault)
+            INJECTORS[fault.kind](self, fault)
+        time.sleep(max(0.0, self.started_s + self.seconds - time.monotonic()))
 
-    def _later(self, after_s, action):
+    def schedule(self, after_s, action):
+        """Call an action on another thread after a delay."""
         timer = threading.Timer(after_s, action)
         timer.daemon = True
         timer.start()
 
-    def _restart(self, number):
-        """Start a router that has ended once more, as the platform does."""
+    def restart_router(self, number):
+        """Restart a router by its index if its process has ended, as the platform does."""
         with self._lock:
             router = self.fleet.routers[number]
             if self._ended.is_set() or not router.has_ended:
                 return
-            # At its old address: callers still know that, and the system would hand the port
-            # to another server of the new process, whose answers then look like a caller's.
+            # The router keeps its port because callers still connect to it. The system could
+            # otherwise assign that port to another server of the new process, whose responses
+            # would be taken for those of the gateway.
             build = self.builds[number]
-            again = self.fleet.start_again(router, ready=False, same_port=True, build=build)
-            again.lines[:0] = router.lines
+            restarted = self.fleet.start_again(router, ready=False, same_port=True, build=build)
+            restarted.lines[:0] = router.lines
 
-    def _recovers(self):
-        """Return whether all routers serve again once nothing strikes any more."""
-        for door in self.fleet.store.doors:
-            door.mend()
+    def _recover(self):
+        """Clear the faults and return whether all routers then serve the newest configuration."""
+        for endpoint in self.fleet.store.doors:
+            endpoint.mend()
         for replica in self.fleet.replicas:
             replica.behaviour = "well"
-        self._wake_all()
+        self._resume_all()
 
         newest = self.fleet.operator.configuration["configVersion"]
 
-        def knows_newest(router):
+        def is_current(router):
             applied = router.find_all("configuration.applied")
             return bool(applied) and applied[-1]["version"] == newest
 
         def all_serve():
-            for number in range(self.size):
-                self._restart(number)
+            for number in range(self.router_count):
+                self.restart_router(number)
             routers = list(self.fleet.routers)
-            return all(each.is_ready() and knows_newest(each) for each in routers)
+            return all(each.is_ready() and is_current(each) for each in routers)
 
-        return bool(eventually(all_serve, RECOVERED_S))
+        return bool(eventually(all_serve, RECOVERY_TIMEOUT_S))
 
-    def _wake_all(self):
-        for router in list(self._stopped.values()):
+    def _resume_all(self):
+        for router in list(self._stopped_routers.values()):
             if not router.has_ended:
                 router.process.send_signal(signal.SIGCONT)
-        self._stopped.clear()
+        self._stopped_routers.clear()
 
-    def _call_on(self, number):
-        """Call on one connection as long as its router keeps it; then try the next router."""
-        chance = random.Random(f"{self.seed}/{number}")
+    def _run_caller(self, number):
+        """Send requests on one connection until it closes, then connect to the next router."""
+        rng = random.Random(f"{self.seed}/{number}")
         connection, target = None, number
         while not self._ended.is_set():
             try:
                 if connection is None:
                     target += 1
-                    router = self.fleet.routers[target % self.size]
+                    router = self.fleet.routers[target % self.router_count]
                     connection = Caller(router.address, 6.0)
                     connection.router = router
-                if not self._one_call(connection, chance):
+                if not self._send_call(connection, rng):
                     connection.close()
                     connection = None
             except OSError:
                 connection = None
-            self._ended.wait(PACE_S * chance.random())
-
-    def _one_call(self, connection, chance):
-        method, prefix, service = chance.choice(PATHS)
-        identity = f"{next(_numbers):016x}"
-        path = f"{prefix}/{identity}"
-        call = Call(identity, path, service, time.monotonic(), prefix == "/status")
+            self._ended.wait(MAX_PAUSE_S * rng.random())
+
+    def _send_call(self, connection, rng):
+        """Send a random request and record its response; return whether the connection stays."""
+        method, prefix, service = rng.choice(REQUEST_KINDS)
+        request_id = f"{next(_numbers):016x}"
+        path = f"{prefix}/{request_id}"
+        call = Call(request_id, path, service, time.monotonic(), prefix == "/status")
         call.router = connection.router
         self.calls.append(call)
         tokens = TOKENS if service == "engine" else None
         body = b"x" if method == "POST" else b""
-        parts = ""
+        segments = ""
         if tokens and self.earlier:
-            shared = int(identity, 16) % MOST_PARTS
-            parts = f"{shared:x}:{tokens[0] - 1},{identity}:1"
-        connection.send(method, path, body=body, tokens=tokens, parts=parts, identity=identity)
-        answer = connection.read()
-        call.whole, call.body, call.events = answer.whole, answer.body, answer.event_ids
-        call.status, call.ended_s = answer.status, time.monotonic()
-        call.leaving = bool(answer.header("Server-Leaving"))
-        return answer.whole and answer.header("Connection") != "close"
+            shared = int(request_id, 16) % SHARED_SEGMENTS
+            segments = f"{shared:x}:{tokens[0] - 1},{request_id}:1"
+        connection.send(method, path, body=body, tokens=tokens, parts=segments, identity=request_id)
+        response = connection.read()
+        call.is_complete, call.body = response.whole, response.body
+        call.event_ids = response.event_ids
+        call.status, call.ended_s = response.status, time.monotonic()
+        call.leaving = bool(response.header("Server-Leaving"))
+        return response.whole and response.header("Connection") != "close"
 
 
 def allow_second_replica(configuration):
-    """Let what may run once go to a second replica, where the first one refuses it."""
+    """Let non-idempotent requests go to a second replica if the first one refuses them."""
     for route in configuration["routes"]:
         if route["pathPrefix"] == "/status/":
             route["maxAttempts"] = 2
 
 
-STRIKES = {}
+# Functions that inject a fault into a run, by the kind of the fault.
+INJECTORS = {}
+
 
+def injects(kind):
+    """Register the decorated function as the injector of a fault kind."""
 
-def strike(kind):
     def register(function):
-        STRIKES[kind] = function
+        INJECTORS[kind] = function
         return function
 
     return register
 
 
-@strike("kill")
+@injects("kill")
 def kill(soak, fault):
+    """Kill a router and restart it."""
     soak.fleet.routers[fault.router].process.kill()
-    soak._later(0.3, lambda: soak._restart(fault.router))
+    soak.schedule(0.3, lambda: soak.restart_router(fault.router))
 
 
-@strike("kill all")
+@injects("kill all")
 def kill_all(soak, fault):
-    for number in range(soak.size):
+    """Kill all routers together and restart them."""
+    for number in range(soak.router_count):
         soak.fleet.routers[number].process.kill()
-        soak._later(0.3, lambda number=number: soak._restart(number))
+        soak.schedule(0.3, lambda number=number: soak.restart_router(number))
 
 
-@strike("terminate")
+@injects("terminate")
 def terminate(soak, fault):
+    """Stop a router in an orderly way (SIGTERM) and restart it."""
     soak.fleet.routers[fault.router].terminate()
-    soak._later(4.0, lambda: soak._restart(fault.router))
+    soak.schedule(4.0, lambda: soak.restart_router(fault.router))
 
 
-@strike("stop")
+@injects("stop")
 def stop(soak, fault):
+    """Suspend a router's process (SIGSTOP) for the duration of the fault."""
     router = soak.fleet.routers[fault.router]
     router.process.send_signal(signal.SIGSTOP)
-    soak._stopped[fault.at_s] = router
-    begun_s = time.monotonic()
-    soak.frozen.append((router, begun_s, begun_s + fault.for_s))
+    soak._stopped_routers[fault.start_s] = router
+    start_s = time.monotonic()
+    soak.stopped_spans.append((router, start_s, start_s + fault.duration_s))
 
-    def wake():
+    def resume():
         if not router.has_ended:
             router.process.send_signal(signal.SIGCONT)
 
-    soak._later(fault.for_s, wake)
+    soak.schedule(fault.duration_s, resume)
 
 
-@strike("hang up")
+@injects("hang up")
 def hang_up(soak, fault):
+    """Have a router reload its settings (SIGHUP)."""
     soak.fleet.routers[fault.router].process.send_signal(signal.SIGHUP)
 
 
-@strike("store")
+@injects("store")
 def store(soak, fault):
-    spoil(soak, [soak.fleet.routers[fault.router].door], fault)
+    """Make the store fail for one router."""
+    set_store_fault(soak, [soak.fleet.routers[fault.router].door], fault)
 
 
-@strike("store of all")
+@injects("store of all")
 def store_of_all(soak, fault):
-    spoil(soak, [router.door for router in soak.fleet.routers], fault)
+    """Make the store fail for all routers."""
+    set_store_fault(soak, [router.door for router in soak.fleet.routers], fault)
 
 
-def spoil(soak, doors, fault):
-    for door in doors:
-        if fault.how == "slow":
-            door.slow_s = 0.4
-        elif fault.how == "lose":
-            door.lose_writes = 1_000_000
+def set_store_fault(soak, endpoints, fault):
+    """Apply a fault to endpoints of the store and clear it at its end."""
+    for endpoint in endpoints:
+        if fault.variant == "slow":
+            endpoint.slow_s = 0.4
+        elif fault.variant == "lose":
+            endpoint.lose_writes = 1_000_000
         else:
-            door.fault = fault.how
+            endpoint.fault = fault.variant
 
-    def mend():
-        for door in doors:
-            door.mend()
+    def clear():
+        for endpoint in endpoints:
+            endpoint.mend()
 
-    soak._later(fault.for_s, mend)
+    soak.schedule(fault.duration_s, clear)
 
 
-@strike("come back")
-def come_back(soak, fault):
-    """Have the store go away later, and come back as it is now; its writers write again."""
-    if soak.coming_back:
+@injects("come back")
+def restore_store(soak, fault):
+    """Copy the store now and, after an outage, restore that copy; lost values are written again."""
+    if soak.restoring:
         return
-    soak.coming_back = True
+    soak.restoring = True
     store = soak.fleet.store
     earlier = store.copy()
 
-    def away():
-        for door in store.doors:
-            door.fault = "reset"
-        soak._later(AWAY_S, back)
+    def begin_outage():
+        for endpoint in store.doors:
+            endpoint.fault = "reset"
+        soak.schedule(RESTORE_OUTAGE_S, restore)
 
-    def back():
+    def restore():
         lost = store.come_back_from(earlier)
-        for door in store.doors:
-            door.mend()
-        soak._later(WRITTEN_AGAIN_S, lambda: written_again(lost))
+        for endpoint in store.doors:
+            endpoint.mend()
+        soak.schedule(REWRITE_DELAY_S, lambda: rewrite(lost))
 
-    def written_again(lost):
+    def rewrite(lost):
         store.write_again(lost)
-        soak.coming_back = False
+        soak.restoring = False
 
-    soak._later(fault.for_s, away)
+    soak.schedule(fault.duration_s, begin_outage)
 
 
-@strike("evacuate")
+@injects("evacuate")
 def evacuate(soak, fault):
-    """Evacuate a failure domain that no replica is in, so that the operator's part changes."""
+    """Evacuate a failure domain without replicas, so that the operator's items change."""
     soak.fleet.operator.evacuate("hall-9")
-    soak._later(fault.for_s, lambda: soak.fleet.operator.take_back("hall-9"))
+    soak.schedule(fault.duration_s, lambda: soak.fleet.operator.take_back("hall-9"))
 
 
-@strike("replicas")
+@injects("replicas")
 def replicas(soak, fault):
+    """Make all replicas fail in one way."""
     for replica in soak.fleet.replicas:
-        if fault.how == "stall":
+        if fault.variant == "stall":
             replica.stall_s = STALL_S
-        elif fault.how != "surplus" or replica.service == "portal":
-            # Of the engines' stand-ins a surplus answer is no stream, which gateways pass on.
-            replica.behaviour = fault.how
+        elif fault.variant != "surplus" or replica.service == "portal":
+            # The engine stand-in's surplus response is not a stream, and gateways relay it.
+            replica.behaviour = fault.variant
 
-    def mend():
+    def clear():
         for replica in soak.fleet.replicas:
             replica.behaviour, replica.stall_s = "well", 0.0
 
-    soak._later(fault.for_s, mend)
+    soak.schedule(fault.duration_s, clear)
 
 
-@strike("replica crashes")
+@injects("replica crashes")
 def replica_crashes(soak, fault):
+    """Crash a service's oldest running replica, unless it is the last one, and start a new one."""
     service = ("portal", "engine")[fault.router % 2]
-    listed = [each for each in soak.fleet.of(service) if not each.gone]
-    if len(listed) > 1:
-        listed[0].gone = True
-        listed[0].crash()
-        listed[0].unlist()
+    running = [each for each in soak.fleet.of(service) if not each.gone]
+    if len(running) > 1:
+        running[0].gone = True
+        running[0].crash()
+        running[0].unlist()
         soak.add_replica(service)
 
 
-def spoken(soak, fault):
-    """Return the one of two or more sound replicas that is asked most, None without another.
+def busiest_replica(soak, fault):
+    """Return the healthy replica with the most recent requests, None if fewer than two are healthy.
 
-    What it says of itself is put to the test only where routers would choose it.
+    The state that a replica reports affects only routers that would choose it, so the busiest
+    replica tests it best.
     """
-    since_s = time.monotonic() - ASKED_S
+    since_s = time.monotonic() - BUSY_WINDOW_S
 
-    def asked(replica):
+    def request_count(replica):
         return sum(1 for each in list(replica.requests) if each.at_s >= since_s)
 
-    found = soak.sound(("portal", "engine")[fault.router % 2])
-    return max(found, key=asked) if len(found) > 1 else None
+    healthy = soak.healthy_replicas(("portal", "engine")[fault.router % 2])
+    return max(healthy, key=request_count) if len(healthy) > 1 else None
 
 
-@strike("leave")
+@injects("leave")
 def leave(soak, fault):
-    """Say in answers that it leaves; the record says so later, and another one starts."""
-    replica = spoken(soak, fault)
+    """Have a replica report in responses, and later in its record, that it is leaving.
+
+    Another replica starts at once.
+    """
+    replica = busiest_replica(soak, fault)
     if replica is None:
         return
     replica.leaving = True
@@ -411,61 +457,62 @@
     def end():
         replica.gone = True
         replica.unlist()
-        soak._later(DRAIN_S + 0.5, replica.crash)
+        soak.schedule(DRAIN_S + 0.5, replica.crash)
 
-    recorded_s = RECORDED_LATE_S + fault.for_s
-    soak._later(recorded_s, lambda: replica.gone or replica.list("draining"))
-    soak._later(recorded_s + DRAIN_S, end)
+    recorded_s = RECORD_DELAY_S + fault.duration_s
+    soak.schedule(recorded_s, lambda: replica.gone or replica.list("draining"))
+    soak.schedule(recorded_s + DRAIN_S, end)
 
 
-@strike("rest")
+@injects("rest")
 def rest(soak, fault):
-    """Turn requests away and ask for rest."""
-    replica = spoken(soak, fault)
+    """Have a replica refuse requests and ask for a backoff."""
+    replica = busiest_replica(soak, fault)
     if replica is None:
         return
-    replica.behaviour, replica.rest = "rest", str(REST_S)
+    replica.behaviour, replica.rest = "rest", str(BACKOFF_S)
 
-    def mend():
+    def clear():
         replica.behaviour = "well"
 
-    soak._later(fault.for_s, mend)
+    soak.schedule(fault.duration_s, clear)
 
 
-@strike("lapse")
+@injects("lapse")
 def lapse(soak, fault):
-    """Have a record go and come back while its replica lives."""
-    replica = spoken(soak, fault)
+    """Remove the record of a running replica and write it again shortly after."""
+    replica = busiest_replica(soak, fault)
     if replica is not None:
         replica.unlist()
-        soak._later(LAPSE_S, lambda: replica.gone or replica.list())
+        soak.schedule(LAPSE_S, lambda: replica.gone or replica.list())
 
 
-@strike("start again")
+@injects("start again")
 def start_again(soak, fault):
-    """Have a replica end and start again under its id, at another address."""
-    replica = spoken(soak, fault)
+    """Crash a replica and start it again with the same id at another address."""
+    replica = busiest_replica(soak, fault)
     if replica is not None:
         replica.gone = True
         replica.crash()
-        again = {"identity": replica.identity}
-        soak._later(LAPSE_S, lambda: soak.add_replica(replica.service, **again))
+        same_id = {"identity": replica.identity}
+        soak.schedule(LAPSE_S, lambda: soak.add_replica(replica.service, **same_id))
 
 
-@strike("replace")
+@injects("replace")
 def replace(soak, fault):
-    """Stop a router as planned and start it with the other build."""
-    soak.builds[fault.router] = ROOT if fault.how == "new" else soak.earlier
+    """Stop a router in an orderly way and restart it with the other build."""
+    soak.builds[fault.router] = ROOT if fault.variant == "new" else soak.earlier
     soak.fleet.routers[fault.router].terminate()
     for after_s in (0.5, 2.0, 4.0):
-        soak._later(after_s, lambda: soak._restart(fault.router))
+        soak.schedule(after_s, lambda: soak.restart_router(fault.router))
 
 
-@strike("storm")
+@injects("storm")
 def storm(soak, fault):
-    """Mark the beginning in the plan; what it consists of strikes by itself."""
+    """Do nothing: the entry marks the start, and the plan lists the storm's faults separately."""
 
 
-@strike("key")
-def key(soak, fault):
+@injects("key")
+def revoke_key(soak, fault):
+    """Revoke an API key that no caller uses, so that the configuration changes."""
     soak.fleet.operator.revoke("key-two")
