--- a/features/steps/routing_steps.py
+++ b/features/steps/routing_steps.py
@@ -36,7 +36,7 @@
     context.registry.update(context.instances, TableView())
     context.clock.advance(2_000)
     for each in context.instances:
-        context.registry.heard(each.address, LoadReport(reported_ms=1))
+        context.registry.record_report(each.address, LoadReport(reported_ms=1))
 
 
 def chosen(context, times=200):
@@ -44,7 +44,7 @@
     found = set()
     for _ in range(times):
         state = context.registry.choose("model", open_policy("random"), generator, {})
-        context.registry.finished(state, failed=False)
+        context.registry.record_finished(state, failed=False)
         found.add(state.instance.address)
     return found
 
@@ -57,7 +57,7 @@
     context.clock.advance(3_500)
     for each in context.instances[1:]:
         leaving = each.name == "agent-1"
-        context.registry.heard(each.address, LoadReport(reported_ms=2, leaving=leaving))
+        context.registry.record_report(each.address, LoadReport(reported_ms=2, leaving=leaving))
 
 
 @then("only the other {count:d} are chosen")
@@ -68,7 +68,7 @@
 def fail(context, addresses):
     for address in addresses:
         for _ in range(3):
-            context.registry.finished(context.registry._states[address], failed=True)
+            context.registry.record_finished(context.registry._states[address], failed=True)
 
 
 @when("{count:d} upstreams fail three times in a row")
@@ -96,8 +96,8 @@
 @when("upstream A was sent blocks 1 to 4 and upstream B blocks 1, 2 and 9")
 def sent(context):
     context.memory = PrefixMemory()
-    context.memory.note((1, 2, 3, 4), "A")
-    context.memory.note((1, 2, 9), "B")
+    context.memory.record_sent((1, 2, 3, 4), "A")
+    context.memory.record_sent((1, 2, 9), "B")
 
 
 @then("a prompt of blocks 1 to 5 has 4 hits at A and 2 at B")
@@ -133,8 +133,8 @@
     budget = RetryBudget()
     context.allowed = 0
     for _ in range(count):
-        budget.first_try()
-        context.allowed += budget.take()
+        budget.record_first_attempt()
+        context.allowed += budget.acquire()
 
 
 @then("at most {count:d} retries are allowed")
@@ -197,14 +197,14 @@
 
 @when("a retry is sent to an agent that the router never heard of")
 def never_heard(context):
-    assert context.registry.is_silent("elsewhere:1")
-    context.registry.sent_to("elsewhere:1")
+    assert context.registry.is_unresponsive("elsewhere:1")
+    context.registry.record_sent("elsewhere:1")
 
 
 @then("it counts as silent only after the silence limit")
 def silence(context):
-    assert not context.registry.is_silent("elsewhere:1")
+    assert not context.registry.is_unresponsive("elsewhere:1")
     context.clock.advance(2_900)
-    assert not context.registry.is_silent("elsewhere:1")
+    assert not context.registry.is_unresponsive("elsewhere:1")
     context.clock.advance(200)
-    assert context.registry.is_silent("elsewhere:1")
+    assert context.registry.is_unresponsive("elsewhere:1")
--- a/src/aspengate/experiments/_routing_run.py
+++ b/src/aspengate/experiments/_routing_run.py
@@ -183,7 +183,7 @@
             self.seen.refused_may_wait += counted and may_wait
             return
         name = state.instance.address
-        router.prefixes.note(blocks, name)
+        router.prefixes.record_sent(blocks, name)
         engine = self.engines[name]
         if engine.dead:
             self._at(
@@ -226,15 +226,15 @@
         if not any(each[0] is router and each[1] is state for each in pending):
             return
         pending.remove((router, state))
-        router.registry.finished(state, failed=False, first_answer_ms=first)
-        router.registry.touch(state.instance.address)
+        router.registry.record_finished(state, failed=False, first_answer_ms=first)
+        router.registry.record_activity(state.instance.address)
         if counted:
             self.seen.first.append(first)
             times = request.token_ms
             self.seen.between += [later - earlier for earlier, later in itertools.pairwise(times)]
 
     def _fail(self, router: _Router, state: UpstreamState, counted: bool) -> None:
-        router.registry.finished(state, failed=True)
+        router.registry.record_finished(state, failed=True)
         self.seen.failed += counted
 
     def _step(self, engine: FakeEngine) -> None:
@@ -256,9 +256,9 @@
     def _hear(self, name: str, report: object) -> None:
         for router in self.routers:
             if self.frozen:
-                router.registry.touch(name)
+                router.registry.record_activity(name)
             else:
-                router.registry.heard(name, report)  # type: ignore[arg-type]
+                router.registry.record_report(name, report)  # type: ignore[arg-type]
 
     def _fault(self, kind: str) -> None:
         if kind == "frozen":
--- a/src/aspengate/experiments/_slopes.py
+++ b/src/aspengate/experiments/_slopes.py
@@ -332,13 +332,13 @@
     prefixes = PrefixMemory()
     prompt = bytes(random.Random(1).randrange(256) for _ in range(64 * 64))
     for instance in instances[:3]:
-        prefixes.note(prefix_blocks(prompt), instance.address)
+        prefixes.record_sent(prefix_blocks(prompt), instance.address)
     policy, context = open_policy("weighted_score"), ChoiceContext(random.Random(1))
 
     def choose() -> None:
         hits = prefixes.hits(blocks)
         state = registry.choose("model", policy, context, hits)
-        registry.finished(state, failed=False)
+        registry.record_finished(state, failed=False)
 
     blocks = prefix_blocks(prompt)
     return {
@@ -359,7 +359,7 @@
 def _filled_prefixes() -> PrefixMemory:
     memory = PrefixMemory()
     for number in range(20_000):
-        memory.note((number * 2**40,), "10.0.0.1:1")
+        memory.record_sent((number * 2**40,), "10.0.0.1:1")
     return memory
 
 
--- a/src/aspengate/limits/_bucket.py
+++ b/src/aspengate/limits/_bucket.py
@@ -16,7 +16,7 @@
         self.burst = burst
         self.tokens = min(self.tokens, burst)
 
-    def take(self, now_ms: float, amount: float = 1.0) -> bool:
+    def acquire(self, now_ms: float, amount: float = 1.0) -> bool:
         """Take ``amount`` tokens if there are that many."""
         elapsed = max(0.0, now_ms - self._updated_ms)
         self._updated_ms = max(self._updated_ms, now_ms)
--- a/src/aspengate/limits/_limiter.py
+++ b/src/aspengate/limits/_limiter.py
@@ -21,7 +21,7 @@
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.routers = 0
+        self.router_count = 0
         self._buckets: dict[str, TokenBucket] = {}
         self._running: Counter[str] = Counter()
         self._lock = threading.Lock()
@@ -35,7 +35,7 @@
                     raise AspengateError(
                         ErrorKind.RATE_LIMITED, "too many requests at once", where=identity
                     )
-            if account.requests_per_second and not self._bucket(account).take(
+            if account.requests_per_second and not self._bucket(account).acquire(
                 self.clock.monotonic_ms()
             ):
                 raise AspengateError(
@@ -54,7 +54,7 @@
         limited = account.requests_per_second or any(
             most for _, most in _concurrency(account, service)
         )
-        if limited and not self.routers:
+        if limited and not self.router_count:
             raise AspengateError(
                 ErrorKind.RATE_LIMITED,
                 "how many routers share the limits is not known yet",
@@ -70,10 +70,10 @@
                     del self._running[identity]
 
     def _share(self, most: int) -> int:
-        return max(1, -(-most // self.routers))
+        return max(1, -(-most // self.router_count))
 
     def _bucket(self, account: ClientAccountRow) -> TokenBucket:
-        rate = account.requests_per_second / self.routers
+        rate = account.requests_per_second / self.router_count
         burst = max(1.0, rate * _BURST_SECONDS)
         bucket = self._buckets.get(account.name)
         if bucket is None:
--- a/src/aspengate/limits/_retries.py
+++ b/src/aspengate/limits/_retries.py
@@ -17,12 +17,12 @@
         self._tokens = reserve
         self._lock = threading.Lock()
 
-    def first_try(self) -> None:
+    def record_first_attempt(self) -> None:
         """Count a first try."""
         with self._lock:
             self._tokens = min(self.reserve * 10, self._tokens + self.fraction)
 
-    def take(self) -> bool:
+    def acquire(self) -> bool:
         """Return whether one more retry is allowed, and count it."""
         with self._lock:
             if self._tokens < 1.0:
--- a/src/aspengate/router/_daemon.py
+++ b/src/aspengate/router/_daemon.py
@@ -204,7 +204,7 @@
         regional = self.members.routers(regional=True)
         self.money.routers = regional
         self.claims.routers = self.members.routers(regional=False)
-        self.limiter.routers = self.members.sharing_region()
+        self.limiter.router_count = self.members.sharing_region()
 
     def _tick_money(self) -> None:
         self.money.tick()
@@ -360,9 +360,9 @@
     number = message.chunks[0].stream if isinstance(message, Chunks) else message.stream
     agent = router.streams.agent_of(message.router_session, number)
     if agent is not None and isinstance(message, Done | Refused):
-        router.registry.heard(agent, message.load)
+        router.registry.record_report(agent, message.load)
     elif agent is not None:
-        router.registry.touch(agent)
+        router.registry.record_activity(agent)
     router.streams.accept(message)
 
 
--- a/src/aspengate/router/_members.py
+++ b/src/aspengate/router/_members.py
@@ -100,7 +100,7 @@
                     self.generation += 1
                 self._heard[heartbeat.sender] = (self._clock.monotonic_ms(), heartbeat)
             return
-        self._registry.heard(heartbeat.reply_to, heartbeat.load)
+        self._registry.record_report(heartbeat.reply_to, heartbeat.load)
 
     def versions(self) -> dict[str, int]:
         """Return the table version that each router last spoke of."""
--- a/src/aspengate/router/_pipeline.py
+++ b/src/aspengate/router/_pipeline.py
@@ -38,7 +38,7 @@
 
         Raises AspengateError where the request is refused or failed before its first byte.
         """
-        self.retries.first_try()
+        self.retries.record_first_attempt()
         exchange = Exchange(request, table)
         try:
             exchange = self._pass(self.admission, exchange)
@@ -73,7 +73,7 @@
         if failure.cause.kind not in _RETRYABLE and not (lost and harmless):
             return False
         expired = self.parts.clock.now_ms() >= admitted.request.deadline_ms
-        return not expired and self.retries.take()
+        return not expired and self.retries.acquire()
 
     def _pass(self, filters: tuple[Filter, ...], exchange: Exchange) -> Exchange:
         for each in filters:
@@ -132,7 +132,7 @@
         return Answer(status, headers, iter(relay))
 
     def _is_lost(self, stream: AnswerStream) -> bool:
-        return self.parts.registry.is_silent(stream.agent)
+        return self.parts.registry.is_unresponsive(stream.agent)
 
     def _remaining(self, exchange: Exchange) -> float:
         deadline = exchange.request.deadline_ms + ANSWER_MARGIN_MS
--- a/src/aspengate/router/filters/_choose.py
+++ b/src/aspengate/router/filters/_choose.py
@@ -34,12 +34,12 @@
             exchange.excluded,
             share_of(exchange.known_account, service),
         )
-        self.parts.prefixes.note(prefix, upstream.instance.address)
+        self.parts.prefixes.record_sent(prefix, upstream.instance.address)
         return replace(exchange, upstream=upstream, prefix=prefix)
 
     def finish(self, exchange: Exchange, outcome: Outcome) -> None:
         """Count the request out, and a failure against the upstream."""
-        self.parts.registry.finished(
+        self.parts.registry.record_finished(
             exchange.known_upstream,
             failed=outcome.error in _FAILURES,
             first_answer_ms=outcome.first_answer_ms,
--- a/src/aspengate/router/filters/_dispatch.py
+++ b/src/aspengate/router/filters/_dispatch.py
@@ -28,7 +28,7 @@
         if not self.parts.peer.send(agent, message):
             self.parts.streams.close(stream.number)
             raise AspengateError(ErrorKind.NO_UPSTREAM, "the agent can't be reached", where=agent)
-        self.parts.registry.sent_to(agent)
+        self.parts.registry.record_sent(agent)
         return replace(exchange, stream=stream)
 
     def finish(self, exchange: Exchange, outcome: Outcome) -> None:
--- a/src/aspengate/routing/_candidates.py
+++ b/src/aspengate/routing/_candidates.py
@@ -14,7 +14,7 @@
     """One upstream as this router sees it; it is changed on the request path.
 
     ``in_flight`` counts this router's own requests there, ``others_in_flight`` those of other
-    routers, smoothed over its reports. ``heard_ms`` is when its agent last spoke to us.
+    routers, smoothed over its reports. ``last_activity_ms`` is when its agent last spoke to us.
     """
 
     instance: Instance
@@ -24,7 +24,7 @@
     report: LoadReport = field(default_factory=LoadReport)
     report_received_ms: float = 0.0
     others_in_flight: float = 0.0
-    heard_ms: float = 0.0
+    last_activity_ms: float = 0.0
     joined_ms: float = 0.0
     failures: int = 0
     ejected_until_ms: float = 0.0
--- a/src/aspengate/routing/_prefixes.py
+++ b/src/aspengate/routing/_prefixes.py
@@ -34,7 +34,7 @@
         self.upstreams_per_block = upstreams_per_block
         self._holders: OrderedDict[int, tuple[str, ...]] = OrderedDict()
 
-    def note(self, blocks: tuple[int, ...], upstream: str) -> None:
+    def record_sent(self, blocks: tuple[int, ...], upstream: str) -> None:
         """Remember that ``upstream`` was sent a prompt with these blocks."""
         for block in blocks:
             others = tuple(name for name in self._holders.pop(block, ()) if name != upstream)
--- a/src/aspengate/routing/_registry.py
+++ b/src/aspengate/routing/_registry.py
@@ -69,7 +69,7 @@
             for address, instance in listed.items():
                 state = self._states.get(address)
                 if state is None or state.instance.name != instance.name:
-                    state = UpstreamState(instance, heard_ms=now, joined_ms=now)
+                    state = UpstreamState(instance, last_activity_ms=now, joined_ms=now)
                     self._states[address] = state
                 state.instance = instance
                 row = table.upstreams.get(instance.upstream or instance.name)
@@ -122,20 +122,20 @@
         """Return the addresses of all listed agents."""
         return tuple(self._states)
 
-    def touch(self, address: str) -> None:
+    def record_activity(self, address: str) -> None:
         """Note that an agent lives, since it sent part of an answer."""
         now = self.clock.monotonic_ms()
         self._heard[address] = now
         state = self._states.get(address)
         if state is not None:
-            state.heard_ms = now
+            state.last_activity_ms = now
 
-    def sent_to(self, address: str) -> None:
+    def record_sent(self, address: str) -> None:
         """Note that an agent was sent work; one that is not in use is expected to answer now."""
         if address not in self._states:
             self._heard[address] = self.clock.monotonic_ms()
 
-    def is_silent(self, address: str) -> bool:
+    def is_unresponsive(self, address: str) -> bool:
         """Return whether an agent that was sent work has not been heard of for too long.
 
         An agent that is leaving still answers what it has, so it need not be in use any more.
@@ -143,17 +143,17 @@
         last = self._heard.get(address, float("-inf"))
         state = self._states.get(address)
         if state is not None:
-            last = max(last, state.heard_ms)
+            last = max(last, state.last_activity_ms)
         return self.clock.monotonic_ms() - last > self.silent_after_ms
 
-    def heard(self, address: str, report: LoadReport) -> None:
+    def record_report(self, address: str, report: LoadReport) -> None:
         """Take an agent's word of its load."""
         now = self.clock.monotonic_ms()
         self._heard[address] = now
         state = self._states.get(address)
         if state is None:
             return
-        state.heard_ms = now
+        state.last_activity_ms = now
         if report.reported_ms >= state.report.reported_ms:
             state.report = report
             state.report_received_ms = now
@@ -192,7 +192,7 @@
             chosen.in_flight += 1
             return chosen
 
-    def finished(
+    def record_finished(
         self, state: UpstreamState, *, failed: bool, first_answer_ms: float | None = None
     ) -> None:
         """Note that a request left an upstream; failures in a row eject it for a while.
@@ -241,7 +241,7 @@
             if not state.leaving
             and not state.report.leaving
             and state.weight > 0
-            and now - state.heard_ms <= self.silent_after_ms
+            and now - state.last_activity_ms <= self.silent_after_ms
             and state.instance.address not in excluded
         ]
         kept = [state for state in heard if state.ejected_until_ms <= now]
