--- a/features/steps/limits_steps.py
+++ b/features/steps/limits_steps.py
@@ -1,4 +1,4 @@
-"""Steps on limits that the routers of a region share."""
+"""Steps of limits.feature."""
 
 from behave import given, then
 
@@ -11,7 +11,7 @@
 from aspengate.telemetry import NullCounters
 
 
-class Listed:
+class InstanceList:
     def instances(self):
         return tuple(
             Instance(
@@ -26,19 +26,19 @@
         )
 
 
-class NoUpstreams:
+class NullRegistry:
     def update(self, *_):
         pass
 
 
-@given("a router of a region in whose list there are 4, of which it has heard none")
-def unheard(context):
+@given("a router whose region lists 4 routers, and which has received no heartbeat from the others")
+def router_without_heartbeats(context):
     context.members = Members(
         name="router-1",
         session="router-1.a",
         region="near",
-        listed=Listed(),
-        registry=NoUpstreams(),
+        listed=InstanceList(),
+        registry=NullRegistry(),
         peer=None,
         clock=ManualClock(),
         counters=NullCounters(),
@@ -48,18 +48,21 @@
     context.members.poll()
 
 
-@then("it takes a quarter of the region's limits")
-def quarter(context):
+@then("it enforces a quarter of the region's limits")
+def enforces_quarter(context):
     assert context.members.sharing_region() == 4, context.members.sharing_region()
 
 
-@given("a limiter that was not told how many routers share the limits")
-def untold(context):
+@given("a limiter that does not have the number of routers that share the limits")
+def limiter_without_router_count(context):
     context.limiter = Limiter(ManualClock())
 
 
-@then('a request of a limited account is refused with "{kind}", and another one is admitted')
-def refused(context, kind):
+@then(
+    "a request of an account without limits is admitted, "
+    'and one of a limited account is rejected with "{kind}"'
+)
+def limited_is_rejected(context, kind):
     service = ServiceRow(name="portal")
     limited = ClientAccountRow(name="board", budget="b", max_concurrency=8)
     context.limiter.enter(ClientAccountRow(name="shop", budget="b"), service)
@@ -68,4 +71,4 @@
     except AspengateError as error:
         assert error.kind.value == kind, error
         return
-    raise AssertionError("admitted")
+    raise AssertionError("the limited request was admitted")
--- a/src/aspengate/limits/__init__.py
+++ b/src/aspengate/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Limits on requests and concurrency, kept by each router for its share."""
+"""Provides limits on request rate, concurrency and retries, which each router applies locally."""
 
 from aspengate.limits._adaptive import AdaptiveLimit
 from aspengate.limits._bucket import TokenBucket
--- a/src/aspengate/limits/_limiter.py
+++ b/src/aspengate/limits/_limiter.py
@@ -1,4 +1,4 @@
-"""Requests a second and concurrency for each client account and service."""
+"""Limits the request rate of client accounts and the concurrency of accounts and services."""
 
 import threading
 from collections import Counter
@@ -14,9 +14,10 @@
 class Limiter:
     """Admits requests within this router's share of the limits in the table.
 
-    The limits hold for a region; each of its ``routers`` routers takes an equal share, since
-    the balancer spreads the requests, so that no message is needed. ``routers`` is 0 while their
-    number is not known: then nothing that is limited is admitted.
+    The limits in the table apply to a whole region. Each of its ``router_count`` routers enforces
+    an equal share, rounded up to at least 1 concurrent request; the load balancer distributes
+    requests evenly, so the routers need not exchange messages. While the number of routers is
+    unknown, ``router_count`` is 0 and requests that are subject to a limit are rejected.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -27,11 +28,14 @@
         self._lock = threading.Lock()
 
     def enter(self, account: ClientAccountRow, service: ServiceRow) -> None:
-        """Count a request in; raises AspengateError of kind RATE_LIMITED."""
+        """Admit a request and count it as running until ``leave``.
+
+        Raises AspengateError of kind RATE_LIMITED if the request exceeds a limit.
+        """
         with self._lock:
-            self._check_known(account, service)
-            for identity, most in _concurrency(account, service):
-                if most and self._running[identity] >= self._share(most):
+            self._require_router_count(account, service)
+            for identity, limit in _concurrency_limits(account, service):
+                if limit and self._running[identity] >= self._share(limit):
                     raise AspengateError(
                         ErrorKind.RATE_LIMITED, "too many requests at once", where=identity
                     )
@@ -43,16 +47,16 @@
                     "too many requests a second",
                     where=f"client_account {account.name}",
                 )
-            for identity, _ in _concurrency(account, service):
+            for identity, _ in _concurrency_limits(account, service):
                 self._running[identity] += 1
 
-    def _check_known(self, account: ClientAccountRow, service: ServiceRow) -> None:
-        """Refuse what is limited where the share of it is unknown.
+    def _require_router_count(self, account: ClientAccountRow, service: ServiceRow) -> None:
+        """Reject requests that are subject to a limit while the number of routers is unknown.
 
-        Several routers that start at once would each admit the whole limit.
+        Otherwise, several routers that start at the same time would each admit the whole limit.
         """
         limited = account.requests_per_second or any(
-            most for _, most in _concurrency(account, service)
+            limit for _, limit in _concurrency_limits(account, service)
         )
         if limited and not self.router_count:
             raise AspengateError(
@@ -62,15 +66,15 @@
             )
 
     def leave(self, account: ClientAccountRow, service: ServiceRow) -> None:
-        """Count a request out."""
+        """Stop counting a request that ``enter`` admitted."""
         with self._lock:
-            for identity, _ in _concurrency(account, service):
+            for identity, _ in _concurrency_limits(account, service):
                 self._running[identity] -= 1
                 if not self._running[identity]:
                     del self._running[identity]
 
-    def _share(self, most: int) -> int:
-        return max(1, -(-most // self.router_count))
+    def _share(self, limit: int) -> int:
+        return max(1, -(-limit // self.router_count))
 
     def _bucket(self, account: ClientAccountRow) -> TokenBucket:
         rate = account.requests_per_second / self.router_count
@@ -84,7 +88,7 @@
         return bucket
 
 
-def _concurrency(
+def _concurrency_limits(
     account: ClientAccountRow, service: ServiceRow
 ) -> tuple[tuple[str, int], tuple[str, int]]:
     return (
--- a/src/aspengate/limits/_retries.py
+++ b/src/aspengate/limits/_retries.py
@@ -1,4 +1,4 @@
-"""How many retries a router allows itself."""
+"""Provides the retry budget of one router."""
 
 import threading
 
@@ -7,7 +7,11 @@
 
 
 class RetryBudget:
-    """Allows retries as a fraction of first tries, with a small reserve for quiet times."""
+    """Allows retries in proportion to first attempts, plus a reserve for times of little traffic.
+
+    Each first attempt earns ``fraction`` of a retry. The budget starts with ``reserve`` retries
+    and accumulates at most ten times that. It may be used from several threads.
+    """
 
     def __init__(
         self, fraction: float = _DEFAULT_FRACTION, reserve: float = _DEFAULT_RESERVE
@@ -18,12 +22,12 @@
         self._lock = threading.Lock()
 
     def record_first_attempt(self) -> None:
-        """Count a first try."""
+        """Add the share of a retry that a first attempt earns."""
         with self._lock:
             self._tokens = min(self.reserve * 10, self._tokens + self.fraction)
 
     def acquire(self) -> bool:
-        """Return whether one more retry is allowed, and count it."""
+        """Return whether one more retry is allowed, and deduct it if so."""
         with self._lock:
             if self._tokens < 1.0:
                 return False
