--- a/features/routing.feature
+++ b/features/routing.feature
@@ -1,16 +1,16 @@
-Feature: Requests run where they are answered soonest, also with late and lost information
+Feature: Requests are sent to the upstreams that respond soonest, even if reports are late or lost
 
-  Scenario: Silent, leaving and disabled upstreams get nothing
+  Scenario: Unresponsive, leaving and disabled upstreams receive no requests
     Given a registry of 8 upstreams
-    When one is silent, one says that it leaves, one is listed as leaving and one is disabled
+    When one stops reporting, one reports that it is leaving, one is listed as leaving and one is disabled
     Then only the other 4 are chosen
 
-  Scenario: An agent that is not in use gets its time to answer a retry
+  Scenario: An agent outside the router's subset has the full time limit to respond to a retry
     Given a registry of 8 upstreams
-    When a retry is sent to an agent that the router never heard of
-    Then it counts as silent only after the silence limit
+    When a retry is sent to an agent from which the router has received nothing
+    Then the agent counts as unresponsive only after the time limit
 
-  Scenario: Ejection takes failing upstreams out for a while, but never most of them
+  Scenario: Failing upstreams are ejected for a while, but never most of them
     Given a registry of 8 upstreams
     When 2 upstreams fail three times in a row
     Then those 2 are not chosen
@@ -25,14 +25,14 @@
     When 40 routers see 200 upstreams
     Then each uses 10 to 40 of them and every upstream is used by 5 routers
 
-  Scenario: Retries stay within a fraction of first tries
-    When 1000 requests all fail and ask for a retry
+  Scenario: Retries stay within a fraction of first attempts
+    When 1000 requests all fail and may be retried
     Then at most 110 retries are allowed
 
-  Scenario: Low loads, high loads and late reports
+  Scenario: The weighted score performs well under high load, overload and with late reports
     When the routing experiments run for a short time
-    Then ours has a first token p95 at 90% load of at most 0.7 of the best baseline
-    And at twice the load the goodput stays above 0.9 of the capacity
-    And what may wait is refused first
-    And frozen reports make it no worse than the best baseline
-    And a raw use of late reports would herd
+    Then at 90% load the p95 time to first token is at most 0.7 of the best baseline's
+    And at 200% load the goodput is at least 0.9 of the capacity
+    And requests that may wait are rejected first
+    And with frozen reports the p95 time to first token is at most the best baseline's
+    And without smoothing of late reports, routers would herd to the same upstreams
--- a/src/aspengate/routing/__init__.py
+++ b/src/aspengate/routing/__init__.py
@@ -1,4 +1,4 @@
-"""The choice of an upstream for each request."""
+"""Selects an upstream for each request."""
 
 from aspengate.routing._candidates import Candidate, UpstreamState
 from aspengate.routing._policies import (
--- a/src/aspengate/routing/_candidates.py
+++ b/src/aspengate/routing/_candidates.py
@@ -1,4 +1,4 @@
-"""What a router knows of one upstream."""
+"""Defines the state of an upstream and the candidate that a policy scores."""
 
 from dataclasses import dataclass, field
 
@@ -11,10 +11,13 @@
 
 @dataclass
 class UpstreamState:
-    """One upstream as this router sees it; it is changed on the request path.
+    """Holds this router's view of one upstream; it is modified on the request path.
 
-    ``in_flight`` counts this router's own requests there, ``others_in_flight`` those of other
-    routers, smoothed over its reports. ``last_activity_ms`` is when its agent last spoke to us.
+    ``in_flight`` is the number of this router's own requests at the upstream,
+    ``others_in_flight`` that of the other routers, smoothed over the agent's load reports.
+    ``last_activity_ms`` is when this router last received something from the agent.
+    ``joined_ms`` is when the upstream was added, and ``failures`` the number of failed requests
+    in a row. All times are monotonic, in ms.
     """
 
     instance: Instance
@@ -33,10 +36,11 @@
 
 
 class Candidate(msgspec.Struct, frozen=True):
-    """An upstream that may be chosen, with the figures that a policy weighs.
+    """Holds an upstream that may be chosen, with the figures that a policy compares.
 
-    ``expected_wait`` is in requests ahead per unit of weight; ``prefix_hits`` in prompt blocks
-    that it probably holds; ``distance`` is 0 in our failure domain, 1 in our region, 2 beyond.
+    ``expected_wait`` is the number of requests queued ahead per unit of weight. ``prefix_hits`` is
+    the number of leading prompt blocks that the upstream probably has cached. ``distance`` is 0 in
+    the router's failure domain, 1 elsewhere in its region and 2 in other regions.
     """
 
     state: UpstreamState
--- a/src/aspengate/routing/_policies.py
+++ b/src/aspengate/routing/_policies.py
@@ -1,4 +1,4 @@
-"""Policies that choose among candidates, in a registry by name."""
+"""Provides the policies that choose among candidates, registered by name."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -7,20 +7,20 @@
 
 from aspengate.routing._candidates import Candidate
 
-_PREFIX_HIT_WORTH = 0.3
+_PREFIX_HIT_WEIGHT = 0.3
 _DISTANCE_COST = (0.0, 0.1, 2.0)
 
 
 @dataclass
 class ChoiceContext:
-    """What a policy keeps between choices: a seeded generator and a turn counter."""
+    """Holds a policy's state between choices: a generator, possibly seeded, and a turn counter."""
 
     generator: random.Random = field(default_factory=random.Random)
     turn: int = 0
 
 
 class Policy(Protocol):
-    """Chooses one of the candidates, which are never empty."""
+    """Chooses one of the given candidates, of which there is at least one."""
 
     def __call__(self, candidates: Sequence[Candidate], context: ChoiceContext) -> Candidate:
         """Return the chosen candidate."""
@@ -30,7 +30,7 @@
 
 
 def register_policy(name: str) -> Callable[[Policy], Policy]:
-    """Register a policy under a name that settings and experiments use."""
+    """Return a decorator that registers a policy under a name for settings and experiments."""
 
     def register(policy: Policy) -> Policy:
         _POLICIES[name] = policy
@@ -40,18 +40,18 @@
 
 
 def open_policy(name: str) -> Policy:
-    """Return the policy registered under ``name``; raises KeyError."""
+    """Return the policy registered under ``name``; raises KeyError if there is none."""
     return _POLICIES[name]
 
 
 def policy_names() -> tuple[str, ...]:
-    """Return the names of all policies."""
+    """Return the names of all registered policies, in the order of registration."""
     return tuple(_POLICIES)
 
 
 @register_policy("random")
 def choose_random(candidates: Sequence[Candidate], context: ChoiceContext) -> Candidate:
-    """Choose any candidate with equal chance; a baseline."""
+    """Choose a candidate uniformly at random; a baseline."""
     return context.generator.choice(candidates)
 
 
@@ -64,37 +64,37 @@
 
 @register_policy("least_in_flight")
 def choose_least_in_flight(candidates: Sequence[Candidate], context: ChoiceContext) -> Candidate:
-    """Choose the candidate with the fewest of this router's own requests; a baseline."""
-    least = min(candidate.state.in_flight for candidate in candidates)
+    """Choose a candidate with the fewest in-flight requests of this router; a baseline."""
+    fewest = min(candidate.state.in_flight for candidate in candidates)
     return context.generator.choice(
-        [candidate for candidate in candidates if candidate.state.in_flight == least]
+        [candidate for candidate in candidates if candidate.state.in_flight == fewest]
     )
 
 
 @register_policy("two_choices")
-def choose_two(candidates: Sequence[Candidate], context: ChoiceContext) -> Candidate:
-    """Choose the less loaded of two random candidates; a baseline."""
+def choose_power_of_two(candidates: Sequence[Candidate], context: ChoiceContext) -> Candidate:
+    """Choose the one of two random candidates with fewer in-flight requests; a baseline."""
     pair = [context.generator.choice(candidates) for _ in range(2)]
     return min(pair, key=lambda candidate: candidate.state.in_flight)
 
 
 @register_policy("weighted_score")
 def choose_by_score(candidates: Sequence[Candidate], context: ChoiceContext) -> Candidate:
-    """Choose the lowest score of expected wait, distance and prefix hits.
+    """Choose a candidate with the lowest score of expected wait, distance and prefix hits.
 
-    Ties, and near ties that a stale report can't tell apart, are broken at random so that many
-    routers do not all choose the same upstream.
+    Scores within 0.1 of the lowest count as ties, since outdated load reports cannot distinguish
+    them. Ties are broken at random so that many routers do not all choose the same upstream.
     """
     scored = [(score(candidate), candidate) for candidate in candidates]
     best = min(value for value, _ in scored)
-    near = [candidate for value, candidate in scored if value <= best + _NEAR_TIE]
-    return context.generator.choice(near)
+    tied = [candidate for value, candidate in scored if value <= best + _TIE_MARGIN]
+    return context.generator.choice(tied)
 
 
-_NEAR_TIE = 0.1
+_TIE_MARGIN = 0.1
 
 
 def score(candidate: Candidate) -> float:
-    """Return how costly a candidate is, in requests ahead; lower is better."""
+    """Return the cost of a candidate, in queued requests; lower is better."""
     distance = _DISTANCE_COST[min(candidate.distance, len(_DISTANCE_COST) - 1)]
-    return candidate.expected_wait + distance - _PREFIX_HIT_WORTH * candidate.prefix_hits
+    return candidate.expected_wait + distance - _PREFIX_HIT_WEIGHT * candidate.prefix_hits
--- a/src/aspengate/routing/_registry.py
+++ b/src/aspengate/routing/_registry.py
@@ -1,4 +1,4 @@
-"""All upstreams that a router knows, and which of them may be chosen."""
+"""Tracks the upstreams that a router uses and decides which of them may be chosen."""
 
 import threading
 from collections.abc import Collection, Iterable, Sequence
@@ -16,23 +16,23 @@
 _REPORT_SMOOTHING = 0.05
 _OTHERS_WEIGHT = 0.25
 _EJECT_AFTER_FAILURES = 3
-_EJECT_MS = 5_000.0
+_EJECTION_MS = 5_000.0
 _MAX_EJECTED_FRACTION = 0.5
 _SLOW_START_MS = 5_000.0
 _SLOW_START_FLOOR = 0.2
-_SAMPLE = 12
-_DRAWS = range(_SAMPLE)
+_SAMPLE_SIZE = 12
+_DRAWS = range(_SAMPLE_SIZE)
 _DEFAULT_SUBSET = 24
-_LEAST_USERS = 2
+_MIN_ROUTERS_PER_UPSTREAM = 2
 
 
 class UpstreamRegistry:
-    """The upstreams that this router uses, kept up to date from the instance list and agents.
+    """Tracks the upstreams that this router uses, from the instance list and agents' messages.
 
-    Of each service it uses about ``subset`` upstreams, of its own region where there are any, so
-    that the number of pairs that talk to each other grows with the routers and not with routers
-    times agents. ``name`` is the router's, by which its share is found.
-    ``silent_after_ms`` is how long an agent may stay unheard before it gets no new work.
+    The router uses about ``subset`` upstreams of each service, from its own region if that has
+    any. Thus the number of router-agent pairs that communicate grows with the number of routers
+    and not with routers times agents. ``name`` is the name of this router, which determines its
+    subset. An agent that has sent nothing for ``silent_after_ms`` receives no new requests.
     """
 
     def __init__(
@@ -54,16 +54,21 @@
         self._states: dict[str, UpstreamState] = {}
         self._subsets: dict[str, tuple[frozenset[str], frozenset[str], frozenset[str]]] = {}
         self._by_service: dict[str, list[UpstreamState]] = {}
-        self._heard: dict[str, float] = {}
+        self._last_activity_ms: dict[str, float] = {}
         self._lock = threading.Lock()
 
     def update(self, instances: Collection[Instance], table: TableView) -> None:
-        """Take over the instance list and the operators' words on upstreams."""
+        """Apply the instance list and the operators' rows on upstreams in the table.
+
+        An upstream whose address now belongs to another instance name starts with fresh state.
+        """
         now = self.clock.monotonic_ms()
-        listed = {instance.address: instance for instance in self._used(instances)}
+        listed = {instance.address: instance for instance in self._select_used(instances)}
         known = {instance.address for instance in instances}
         with self._lock:
-            self._heard = {key: at for key, at in self._heard.items() if key in known}
+            self._last_activity_ms = {
+                key: at for key, at in self._last_activity_ms.items() if key in known
+            }
             for address in set(self._states) - set(listed):
                 self._states.pop(address)
             for address, instance in listed.items():
@@ -81,7 +86,11 @@
             for state in self._states.values():
                 self._by_service.setdefault(state.instance.service, []).append(state)
 
-    def _used(self, instances: Iterable[Instance]) -> list[Instance]:
+    def _select_used(self, instances: Iterable[Instance]) -> list[Instance]:
+        """Return the agents that this router uses, of all services.
+
+        Live agents of this region are preferred, then live agents of any region, then all.
+        """
         by_service: dict[str, list[Instance]] = {}
         routers = {self.name}
         for instance in instances:
@@ -92,64 +101,70 @@
         used = []
         for service, group in by_service.items():
             live = [each for each in group if each.state is InstanceState.LIVE]
-            near = [each for each in live if each.region == self.region] or live or group
-            names = self._subset_of(service, frozenset(routers), near)
-            used += [each for each in near if each.name in names]
+            eligible = [each for each in live if each.region == self.region] or live or group
+            names = self._subset_of(service, frozenset(routers), eligible)
+            used += [each for each in eligible if each.name in names]
         return used
 
     def _subset_of(
-        self, service: str, routers: frozenset[str], near: list[Instance]
+        self, service: str, routers: frozenset[str], eligible: list[Instance]
     ) -> frozenset[str]:
-        """Return the names of the upstreams that this router uses out of those ``near``.
+        """Return the names of those ``eligible`` upstreams that this router uses.
 
-        Each upstream is used by the routers that rank first for it, so that all upstreams are
-        used by equally many, and a router that comes or goes moves few of them.
+        Each upstream is used by the routers that rank highest for it. Thus all upstreams are used
+        by the same number of routers, and a router that joins or leaves reassigns few of them.
         """
-        names = frozenset(each.name for each in near)
+        names = frozenset(each.name for each in eligible)
         if len(names) <= self.subset:
             return names
-        known = self._subsets.get(service)
-        if known is not None and known[:2] == (routers, names):
-            return known[2]
-        users = max(_LEAST_USERS, -(-self.subset * len(routers) // len(names)))
+        cached = self._subsets.get(service)
+        if cached is not None and cached[:2] == (routers, names):
+            return cached[2]
+        routers_per_upstream = max(
+            _MIN_ROUTERS_PER_UPSTREAM, -(-self.subset * len(routers) // len(names))
+        )
         chosen = frozenset(
-            name for name in names if self.name in rank_owners(name, routers)[:users]
+            name for name in names if self.name in rank_owners(name, routers)[:routers_per_upstream]
         )
         self._subsets[service] = (routers, names, chosen)
         return chosen
 
     def addresses(self) -> tuple[str, ...]:
-        """Return the addresses of all listed agents."""
+        """Return the addresses of all agents that this router uses."""
         return tuple(self._states)
 
     def record_activity(self, address: str) -> None:
-        """Note that an agent lives, since it sent part of an answer."""
+        """Record that an agent is alive because it sent part of a response."""
         now = self.clock.monotonic_ms()
-        self._heard[address] = now
+        self._last_activity_ms[address] = now
         state = self._states.get(address)
         if state is not None:
             state.last_activity_ms = now
 
     def record_sent(self, address: str) -> None:
-        """Note that an agent was sent work; one that is not in use is expected to answer now."""
+        """Record that a request was sent to an agent.
+
+        If this router does not use the agent, its time limit for sending something starts now.
+        """
         if address not in self._states:
-            self._heard[address] = self.clock.monotonic_ms()
+            self._last_activity_ms[address] = self.clock.monotonic_ms()
 
     def is_unresponsive(self, address: str) -> bool:
-        """Return whether an agent that was sent work has not been heard of for too long.
+        """Return whether an agent that was sent work has sent nothing for ``silent_after_ms``.
 
-        An agent that is leaving still answers what it has, so it need not be in use any more.
+        This also covers agents that the router no longer uses, since an agent that is leaving
+        still completes the requests it has.
         """
-        last = self._heard.get(address, float("-inf"))
+        last = self._last_activity_ms.get(address, float("-inf"))
         state = self._states.get(address)
         if state is not None:
             last = max(last, state.last_activity_ms)
         return self.clock.monotonic_ms() - last > self.silent_after_ms
 
     def record_report(self, address: str, report: LoadReport) -> None:
-        """Take an agent's word of its load."""
+        """Record a load report of an agent; reports older than the last one only prove activity."""
         now = self.clock.monotonic_ms()
-        self._heard[address] = now
+        self._last_activity_ms[address] = now
         state = self._states.get(address)
         if state is None:
             return
@@ -169,25 +184,26 @@
         excluded: frozenset[str] = frozenset(),
         share: float = 1.0,
     ) -> UpstreamState:
-        """Return the upstream for a request and count the request there.
+        """Return the upstream for a request and count the request as in flight there.
 
-        Work that may wait uses only a ``share`` of what upstreams take, so that it is the first
-        to be refused when they are short.
+        ``hits`` gives the number of prefix hits by address, and ``excluded`` the addresses that
+        may not be chosen. The request may use only ``share`` of each upstream's adaptive limit, so
+        that requests that may wait are the first to be rejected when capacity is short.
 
-        Raises AspengateError of kind NO_UPSTREAM where none may be chosen, and OVERLOADED where
-        all that may be are at their limit.
+        Raises AspengateError of kind NO_UPSTREAM if no upstream may be chosen, and OVERLOADED if
+        all that may be chosen are at their limits.
         """
         with self._lock:
             usable = self._usable(self._sample(service, context, hits), excluded)
-            open_ones = [state for state in usable if not _is_full(state, share)]
-            if not open_ones:
+            below_limit = [state for state in usable if not _is_full(state, share)]
+            if not below_limit:
                 usable = self._usable(self._by_service.get(service, ()), excluded)
-                open_ones = [state for state in usable if not _is_full(state, share)]
-            if not open_ones:
+                below_limit = [state for state in usable if not _is_full(state, share)]
+            if not below_limit:
                 kind = ErrorKind.OVERLOADED if usable else ErrorKind.NO_UPSTREAM
                 raise AspengateError(kind, f"no upstream for {service!r} can take the request")
             now = self.clock.monotonic_ms()
-            candidates = [self._candidate(state, hits, now) for state in open_ones]
+            candidates = [self._candidate(state, hits, now) for state in below_limit]
             chosen = policy(candidates, context).state
             chosen.in_flight += 1
             return chosen
@@ -195,9 +211,10 @@
     def record_finished(
         self, state: UpstreamState, *, failed: bool, first_answer_ms: float | None = None
     ) -> None:
-        """Note that a request left an upstream; failures in a row eject it for a while.
+        """Record that a request at an upstream has ended.
 
-        ``first_answer_ms`` is how long its first token took, where it streamed tokens.
+        Three failures in a row eject the upstream for 5 s. ``first_answer_ms`` is the time to the
+        first token of a streamed response, and None for others.
         """
         with self._lock:
             now = self.clock.monotonic_ms()
@@ -209,7 +226,7 @@
                 return
             state.failures += 1
             if state.failures >= _EJECT_AFTER_FAILURES:
-                state.ejected_until_ms = now + _EJECT_MS
+                state.ejected_until_ms = now + _EJECTION_MS
                 state.failures = 0
 
     def _sample(
@@ -217,11 +234,11 @@
     ) -> Sequence[UpstreamState]:
         """Return some upstreams of a service: a few random ones, and those with prefix hits.
 
-        Weighing all of 2,000 for each request would cost milliseconds, and would send every
-        router to the same few.
+        Scoring all of 2,000 upstreams for each request would take milliseconds, and all routers
+        would choose the same few.
         """
         pool = self._by_service.get(service, [])
-        if len(pool) <= _SAMPLE:
+        if len(pool) <= _SAMPLE_SIZE:
             return pool
         draw = context.generator.random
         sampled = {id(state): state for state in (pool[int(draw() * len(pool))] for _ in _DRAWS)}
@@ -234,8 +251,13 @@
     def _usable(
         self, pool: Sequence[UpstreamState], excluded: frozenset[str]
     ) -> list[UpstreamState]:
+        """Return the upstreams that may be chosen, including full ones.
+
+        Ejected upstreams are left out unless that would leave out more than half of those that
+        are otherwise usable; then ejection is ignored.
+        """
         now = self.clock.monotonic_ms()
-        heard = [
+        available = [
             state
             for state in pool
             if not state.leaving
@@ -244,20 +266,22 @@
             and now - state.last_activity_ms <= self.silent_after_ms
             and state.instance.address not in excluded
         ]
-        kept = [state for state in heard if state.ejected_until_ms <= now]
-        if len(kept) < len(heard) * (1 - _MAX_EJECTED_FRACTION):
-            return heard
-        return kept
+        not_ejected = [state for state in available if state.ejected_until_ms <= now]
+        if len(not_ejected) < len(available) * (1 - _MAX_EJECTED_FRACTION):
+            return available
+        return not_ejected
 
     def _candidate(self, state: UpstreamState, hits: dict[str, int], now: float) -> Candidate:
+        # The older the last report, the less the load from other routers counts. A new upstream
+        # starts with a fifth of its weight and reaches its full weight after the slow start.
         age = max(0.0, now - state.report_received_ms)
-        trust = 0.5 ** (age / _REPORT_HALF_LIFE_MS)
-        ahead = state.in_flight + _OTHERS_WEIGHT * trust * state.others_in_flight
+        report_weight = 0.5 ** (age / _REPORT_HALF_LIFE_MS)
+        queued = state.in_flight + _OTHERS_WEIGHT * report_weight * state.others_in_flight
         warm = min(1.0, (now - state.joined_ms) / _SLOW_START_MS)
         weight = state.weight * max(_SLOW_START_FLOOR, warm)
         return Candidate(
             state=state,
-            expected_wait=ahead / weight,
+            expected_wait=queued / weight,
             prefix_hits=hits.get(state.instance.address, 0),
             distance=self._distance(state.instance),
         )
