--- a/src/aspengate/agent/__init__.py
+++ b/src/aspengate/agent/__init__.py
@@ -1,4 +1,4 @@
-"""The process beside each upstream: the only door to it."""
+"""The agent: runs beside one upstream, which receives all of its requests through the agent."""
 
 from aspengate.agent._answers import AnswerStore, KeptAnswer, Subscriber
 from aspengate.agent._daemon import Agent
--- a/src/aspengate/agent/_answers.py
+++ b/src/aspengate/agent/_answers.py
@@ -1,4 +1,4 @@
-"""Answers in progress and kept, so that a retry joins one instead of running again."""
+"""Holds responses in progress and finished ones, so that a retry joins one and is not run again."""
 
 import threading
 from collections import OrderedDict
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class Subscriber:
-    """A router's stream that an answer goes to."""
+    """A router's stream that receives a response."""
 
     reply_to: str
     router_session: str
@@ -24,9 +24,11 @@
 
 @dataclass
 class KeptAnswer:
-    """One answer: its status, headers and all bytes so far, and who listens to it.
+    """Holds one response: its status, headers, body so far and subscribers. Thread-safe.
 
-    Each subscriber gets the answer from its first byte, in order and once.
+    Each subscriber receives the response from its first byte, in order and without repetition.
+    ``key`` is the key of the request's claim, or empty if the request has no claim; the body of
+    a response without a key is not retained.
     """
 
     key: str
@@ -44,7 +46,7 @@
     lock: threading.Lock = field(default_factory=threading.Lock)
 
     def subscribe(self, subscriber: Subscriber) -> None:
-        """Send what there is to a subscriber, and all that follows."""
+        """Add a subscriber, and send it the response so far."""
         with self.lock:
             self.subscribers.append(subscriber)
             if not self.status and self.done is None:
@@ -57,7 +59,7 @@
                 self.emit(subscriber, self._done(subscriber, self.done))
 
     def unsubscribe(self, router_session: str, stream: int) -> None:
-        """Stop sending to a stream; an unkeyed answer that nobody hears is cancelled."""
+        """Stop sending to a stream; cancel a response without a key after its last subscriber."""
         with self.lock:
             self.subscribers = [
                 each
@@ -68,7 +70,7 @@
                 self.cancelled = True
 
     def start(self, status: int, headers: tuple[Header, ...]) -> None:
-        """Take the upstream's status and headers."""
+        """Set the upstream's status and headers, and send them to the subscribers."""
         with self.lock:
             self.status = status
             self.headers = headers
@@ -76,7 +78,7 @@
                 self.emit(subscriber, self._started(subscriber))
 
     def append(self, data: bytes) -> None:
-        """Take more of the body; an unkeyed answer keeps only its length."""
+        """Send ``data`` to the subscribers; a response without a key retains only its length."""
         with self.lock:
             position = self.length
             self.length += len(data)
@@ -86,7 +88,7 @@
                 self.emit(subscriber, Chunk(subscriber.stream, position, data))
 
     def finish(self, done: Done) -> None:
-        """Take the end of the answer."""
+        """Record the end of the response, and send it to the subscribers."""
         with self.lock:
             self.done = done
             for subscriber in self.subscribers:
@@ -107,10 +109,11 @@
 
 
 class AnswerStore:
-    """Answers in progress by stream, and keyed answers for later retries.
+    """Holds responses in progress by stream, and responses with a key for later retries.
 
-    Finished keyed answers are kept up to ``kept_bytes`` in all, the oldest dropped first; that
-    a key was started is remembered even then.
+    Finished responses with a key are retained up to ``kept_bytes`` in total; beyond that, the
+    oldest are dropped first. The key of a dropped response stays recorded as started, so that
+    its request is not run again.
     """
 
     def __init__(self, kept_bytes: int = _DEFAULT_KEPT_BYTES) -> None:
@@ -122,17 +125,17 @@
 
     @property
     def running(self) -> int:
-        """How many answers are in progress."""
+        """Number of responses in progress."""
         return len({id(answer) for answer in self._streams.values()})
 
-    def listeners(self) -> frozenset[str]:
-        """Return the addresses of the routers that wait for running answers."""
+    def receiving_routers(self) -> frozenset[str]:
+        """Return the addresses of the routers that receive responses in progress."""
         with self._lock:
             running = list(self._streams.values())
         return frozenset(each.reply_to for answer in running for each in answer.subscribers)
 
     def open(self, subscriber: Subscriber, answer: KeptAnswer) -> bool:
-        """Note a new answer; return whether neither its stream nor its key was known."""
+        """Add a response; return ``False`` if its stream is in use or its key was started."""
         stream = (subscriber.router_session, subscriber.stream)
         with self._lock:
             if stream in self._streams:
@@ -145,7 +148,7 @@
             return True
 
     def close(self, subscriber: Subscriber) -> None:
-        """Note that the answer of a stream is finished; keep it where it has a key."""
+        """Release the stream of a finished response; the response is retained if it has a key."""
         with self._lock:
             self._streams.pop((subscriber.router_session, subscriber.stream), None)
             finished = [answer for answer in self._keyed.values() if answer.done is not None]
@@ -159,21 +162,21 @@
                 self._dropped[answer.key] = answer
 
     def discard(self, subscriber: Subscriber, answer: KeptAnswer) -> None:
-        """Forget an answer whose run did not start, so that its key is free again."""
+        """Remove a response whose run did not start, so that its key can be started again."""
         with self._lock:
             self._streams.pop((subscriber.router_session, subscriber.stream), None)
             self._keyed.pop(answer.key, None)
 
     def by_key(self, key: str) -> KeptAnswer | None:
-        """Return the kept or running answer of a key."""
+        """Return the finished or running response of a key, if it is retained."""
         return self._keyed.get(key)
 
     def by_stream(self, router_session: str, stream: int) -> KeptAnswer | None:
-        """Return the running answer of a stream."""
+        """Return the running response of a stream, if any."""
         return self._streams.get((router_session, stream))
 
     def claims_of(self, owner: str, agent: str) -> tuple[SeenClaim, ...]:
-        """Return the claims of an owner's session that were started here."""
+        """Return the claims under an owner's session whose requests this agent has started."""
         with self._lock:
             known = (*self._keyed.values(), *self._dropped.values())
             return tuple(
--- a/src/aspengate/agent/_daemon.py
+++ b/src/aspengate/agent/_daemon.py
@@ -1,4 +1,4 @@
-"""The agent as a process or a set of threads: sockets, threads and the modules that decide."""
+"""The agent: its message handlers, threads and sockets, run as a process or inside one."""
 
 import math
 import threading
@@ -35,15 +35,16 @@
     Sealer,
 )
 
-_ROUTER_SILENT_MS = 30_000.0
+_ROUTER_EXPIRY_MS = 30_000.0
 _STORE_RETRY_MS = 500.0
 _DRAIN_POLL_MS = 20.0
 
 
 class Agent:
-    """Runs beside one upstream and is the only process that sends it work.
+    """Runs beside one upstream and is the only process that sends it requests.
 
-    Make it, ``start`` it, and ``leave`` for a planned stop; ``close`` cuts what is running.
+    Call ``start`` to accept requests, and ``leave`` for a planned stop; ``close`` stops without
+    waiting for running requests.
     """
 
     def __init__(
@@ -69,16 +70,16 @@
         self._closing = threading.Event()
         self._loops = [
             threading.Thread(target=self._heartbeat_loop, daemon=True, name="heartbeat"),
-            threading.Thread(target=self._learn_fences, daemon=True, name="fences"),
+            threading.Thread(target=self._load_fences, daemon=True, name="fences"),
         ]
 
     @property
     def address(self) -> str:
-        """Where other processes reach this agent."""
+        """Address at which other processes reach this agent."""
         return self.peer.address
 
     def start(self) -> None:
-        """Begin to accept work, once the fences are read from the store."""
+        """Start the threads; dispatches are refused until the fences are read from the store."""
         self.outbox.start()
         self.peer.start(self.handle)
         for loop in self._loops:
@@ -86,7 +87,10 @@
         log_change("agent.started", name=self.settings.name, address=self.address)
 
     def leave(self, timeout_ms: float) -> bool:
-        """Take no new work, tell the routers, and finish what runs; return whether all did."""
+        """Refuse new requests, notify the routers, wait for running requests, and close.
+
+        Return whether all requests finished within ``timeout_ms``.
+        """
         self.gate.leaving = True
         log_change("agent.leaving", name=self.settings.name)
         self._send_heartbeats()
@@ -98,14 +102,14 @@
         return finished
 
     def close(self) -> None:
-        """Stop at once."""
+        """Stop without waiting for running requests; requests in the queue are cancelled."""
         self._closing.set()
         self.outbox.close()
         self.peer.close()
         self._pool.shutdown(wait=False, cancel_futures=True)
 
     def load(self) -> LoadReport:
-        """Return the present load."""
+        """Return the current load, as reported to the routers."""
         return LoadReport(
             running=self.answers.running,
             reported_ms=self.clock.now_ms(),
@@ -113,10 +117,10 @@
         )
 
     def handle(self, message: Message) -> None:
-        """Take one message; called on the receiving thread, so it does not block."""
-        _HANDLERS.get(type(message), _ignore)(self, message)
+        """Handle a message; called on the receiving thread, so it must not block."""
+        _HANDLERS.get(type(message), _count_unexpected)(self, message)
 
-    def _dispatch(self, dispatch: Dispatch) -> None:
+    def _handle_dispatch(self, dispatch: Dispatch) -> None:
         subscriber = Subscriber(dispatch.reply_to, dispatch.router_session, dispatch.stream)
         self._routers[dispatch.reply_to] = self.clock.monotonic_ms()
         refusal = self.gate.check(dispatch, self.clock.now_ms(), self.answers.running)
@@ -170,13 +174,13 @@
     def _emit(self, subscriber: Subscriber, item: Message | Chunk) -> None:
         self.outbox.put(subscriber.reply_to, subscriber.router_session, item)
 
-    def _cancel(self, cancel: Cancel) -> None:
+    def _handle_cancel(self, cancel: Cancel) -> None:
         answer = self.answers.by_stream(cancel.router_session, cancel.stream)
         if answer is not None:
             answer.unsubscribe(cancel.router_session, cancel.stream)
             self.counters.count("agent.cancelled")
 
-    def _join(self, join: Join) -> None:
+    def _handle_join(self, join: Join) -> None:
         subscriber = Subscriber(join.reply_to, join.router_session, join.stream)
         answer = self.answers.by_key(join.key)
         if answer is None:
@@ -185,7 +189,7 @@
         self.counters.count("agent.joined")
         answer.subscribe(subscriber)
 
-    def _fence(self, fence: Fence) -> None:
+    def _handle_fence(self, fence: Fence) -> None:
         self.gate.fence(fence.session)
         records, running = self.records.of_session(fence.session)
         ack = FenceAck(
@@ -198,10 +202,10 @@
         )
         self.peer.background.submit(self.peer.send, fence.reply_to, ack)
 
-    def _settled(self, settled: BlocksSettled) -> None:
+    def _handle_settled(self, settled: BlocksSettled) -> None:
         self.records.forget(settled.block_ids)
 
-    def _heartbeat(self, heartbeat: Heartbeat) -> None:
+    def _handle_heartbeat(self, heartbeat: Heartbeat) -> None:
         self._routers[heartbeat.reply_to] = self.clock.monotonic_ms()
 
     def _heartbeat_loop(self) -> None:
@@ -213,9 +217,9 @@
         self._routers = {
             router: seen
             for router, seen in self._routers.copy().items()
-            if now - seen < _ROUTER_SILENT_MS
+            if now - seen < _ROUTER_EXPIRY_MS
         }
-        self.outbox.forget({*self._routers, *self.answers.listeners()})
+        self.outbox.retain({*self._routers, *self.answers.receiving_routers()})
         message = Heartbeat(
             sender=self.settings.name,
             reply_to=self.address,
@@ -223,12 +227,12 @@
             load=self.load(),
             table_version=0,
         )
-        quiet_since = now - self.settings.heartbeat_ms
-        for router in {*self._routers, *self.answers.listeners()}:
-            if self.gate.leaving or self.outbox.sent_ms.get(router, -math.inf) <= quiet_since:
+        idle_cutoff_ms = now - self.settings.heartbeat_ms
+        for router in {*self._routers, *self.answers.receiving_routers()}:
+            if self.gate.leaving or self.outbox.sent_ms.get(router, -math.inf) <= idle_cutoff_ms:
                 self.peer.send(router, message)
 
-    def _learn_fences(self) -> None:
+    def _load_fences(self) -> None:
         document = fences_document(self._store)
         while not self._closing.is_set():
             try:
@@ -243,15 +247,15 @@
             return
 
 
-def _ignore(agent: Agent, message: Message) -> None:
+def _count_unexpected(agent: Agent, message: Message) -> None:
     agent.counters.count(f"agent.unexpected.{type(message).__name__}")
 
 
 _HANDLERS: dict[type[Message], Callable[[Agent, Any], None]] = {
-    Dispatch: Agent._dispatch,
-    Cancel: Agent._cancel,
-    Join: Agent._join,
-    Fence: Agent._fence,
-    BlocksSettled: Agent._settled,
-    Heartbeat: Agent._heartbeat,
+    Dispatch: Agent._handle_dispatch,
+    Cancel: Agent._handle_cancel,
+    Join: Agent._handle_join,
+    Fence: Agent._handle_fence,
+    BlocksSettled: Agent._handle_settled,
+    Heartbeat: Agent._handle_heartbeat,
 }
--- a/src/aspengate/agent/_gate.py
+++ b/src/aspengate/agent/_gate.py
@@ -1,4 +1,4 @@
-"""The checks that a dispatch must pass before an agent starts its run."""
+"""Decides whether an agent may start the run of a dispatch."""
 
 from dataclasses import dataclass, field
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True)
 class Refusal:
-    """Why a dispatch is not run."""
+    """The reason for which a dispatch is refused."""
 
     kind: ErrorKind
     reason: str
@@ -16,10 +16,11 @@
 
 @dataclass
 class DispatchGate:
-    """Decides whether a dispatch may still start; a refusal means that it never will.
+    """Decides whether a dispatch may start; a refused dispatch is never started later.
 
     ``clock_margin_ms`` is the largest clock difference between two instances that the fleet
-    allows for. A fence is kept for good: there are few, and an agent lives for days at most.
+    allows for. ``max_concurrency`` of 0 means no limit. Fences are never removed: there are few
+    of them, and an agent runs for days at most.
     """
 
     clock_margin_ms: int = 0
@@ -29,11 +30,14 @@
     fenced: set[str] = field(default_factory=set)
 
     def fence(self, session: str) -> None:
-        """Honour nothing of ``session`` any more."""
+        """Refuse all dispatches and claims under ``session`` from now on."""
         self.fenced.add(session)
 
     def check(self, dispatch: Dispatch, now_ms: int, running: int) -> Refusal | None:
-        """Return why the dispatch is refused, or ``None`` where it may start now."""
+        """Return the refusal, or ``None`` if the dispatch may start now.
+
+        ``running`` is the number of requests in progress.
+        """
         if self.leaving or not self.ready:
             return Refusal(ErrorKind.LEAVING, "the agent takes no new work")
         if now_ms > dispatch.deadline_ms:
--- a/src/aspengate/agent/_outbox.py
+++ b/src/aspengate/agent/_outbox.py
@@ -1,4 +1,4 @@
-"""Batches what an agent sends, so that many streams share one message."""
+"""Batches the frames that an agent sends, so that many streams share one message."""
 
 import queue
 import threading
@@ -14,12 +14,13 @@
 
 
 class Outbox:
-    """One thread that sends all of an agent's frames, in order for each router.
+    """Sends all frames of an agent from one thread, in order for each router.
 
-    While one batch is being sent the next one builds up, so that batches grow with the load
-    and a lone token is not held back. ``linger_ms`` waits longer for more, to trade delay for
-    fewer messages. ``sent_ms`` says when each router last got something, so that it needs no
-    heartbeat.
+    Frames that arrive while a batch is being sent form the next batch, so batches grow with the
+    load and a single token is sent without delay. ``linger_ms`` is an additional wait for more
+    frames before each batch, which trades delay for fewer messages. ``sent_ms`` holds the
+    monotonic time of the last send by router address: a router that received a frame recently
+    needs no heartbeat.
     """
 
     def __init__(self, send: Send, clock: Clock, linger_ms: float = 0.0) -> None:
@@ -32,21 +33,21 @@
         self._thread = threading.Thread(target=self._run, daemon=True, name="outbox")
 
     def start(self) -> None:
-        """Begin to send."""
+        """Start the sending thread."""
         self._thread.start()
 
     def put(self, address: str, router_session: str, item: Message | Chunk) -> None:
-        """Queue a message or a piece of a stream for a router."""
+        """Queue a message or a chunk of a stream for a router."""
         self._queue.put((address, router_session, item))
 
-    def forget(self, kept: Collection[str]) -> None:
-        """Forget when routers got something, but for those ``kept``."""
+    def retain(self, addresses: Collection[str]) -> None:
+        """Drop the send times of all routers whose address is not in ``addresses``."""
         self.sent_ms = {
-            address: sent for address, sent in self.sent_ms.copy().items() if address in kept
+            address: sent for address, sent in self.sent_ms.copy().items() if address in addresses
         }
 
     def close(self) -> None:
-        """Send what is queued, then stop."""
+        """Send the queued frames, then stop; waits at most 5 s."""
         self._stopping.set()
         if self._thread.is_alive():
             self._thread.join(5.0)
--- a/src/aspengate/agent/_records.py
+++ b/src/aspengate/agent/_records.py
@@ -1,4 +1,4 @@
-"""Usage records that an agent keeps until their block is settled in the store."""
+"""Holds usage records in memory until their block is settled in the key-value store."""
 
 import threading
 
@@ -8,10 +8,10 @@
 
 
 class RecordStore:
-    """An agent's evidence of what was spent, by block.
+    """Holds the usage records and the running requests of an agent, by block. Thread-safe.
 
-    Records leave when ``forget`` is told that their block is settled. Above ``capacity`` the
-    oldest blocks' records leave and are counted in ``dropped``.
+    ``forget`` removes the records of settled blocks. Above ``capacity`` records, those of the
+    oldest blocks are removed and counted in ``dropped``.
     """
 
     def __init__(self, capacity: int = _DEFAULT_CAPACITY) -> None:
@@ -26,12 +26,12 @@
         return self._count
 
     def start(self, request: RunningRequest) -> None:
-        """Note that a request starts to spend."""
+        """Record that a request has started."""
         with self._lock:
             self._running[request.block_id, request.sequence] = request
 
     def finish(self, record: UsageRecord) -> None:
-        """Note what a request spent."""
+        """Record the usage of a finished request."""
         with self._lock:
             self._running.pop((record.block_id, record.sequence), None)
             block = self._blocks.setdefault(record.block_id, {})
@@ -41,7 +41,7 @@
                 self.dropped += self._drop(next(iter(self._blocks)))
 
     def forget(self, block_ids: tuple[str, ...]) -> None:
-        """Drop the records of settled blocks."""
+        """Remove the records of settled blocks."""
         with self._lock:
             for block_id in block_ids:
                 self._drop(block_id)
@@ -49,7 +49,7 @@
     def of_session(
         self, session: str
     ) -> tuple[tuple[UsageRecord, ...], tuple[RunningRequest, ...]]:
-        """Return the records and running requests under a steward's or router's session."""
+        """Return the records and running requests under the session of a steward or a router."""
         with self._lock:
             records = tuple(
                 record
--- a/src/aspengate/agent/_run.py
+++ b/src/aspengate/agent/_run.py
@@ -1,4 +1,4 @@
-"""One run at the upstream, from an accepted dispatch to its usage record."""
+"""Runs an accepted dispatch at the upstream, and produces its usage record."""
 
 from aspengate.adapters import TokenUsage, Upstream, UpstreamRequest
 from aspengate.agent._answers import KeptAnswer
@@ -6,15 +6,14 @@
 from aspengate.errors import AspengateError, ErrorKind
 from aspengate.transport import Dispatch, Done, Header, LoadReport, UsageRecord
 
-_SUCCESS_BELOW = 500
+_MIN_FAILURE_STATUS = 500
 
 
 def run_dispatch(dispatch: Dispatch, answer: KeptAnswer, upstream: Upstream, clock: Clock) -> Done:
-    """Run a dispatch to its end, feed its answer's body, and return its final frame.
+    """Run a dispatch to its end, append the body to ``answer``, and return the final frame.
 
-    An error of NO_UPSTREAM in the frame means that nothing ran.
-
-    An answer that the upstream failed costs nothing. A cancelled one costs what it generated.
+    An error of NO_UPSTREAM in the frame means that the run did not start. A response that the
+    upstream failed costs nothing; a cancelled one costs the tokens generated until then.
     """
     error = ""
     usage = TokenUsage()
@@ -28,7 +27,7 @@
             answer.append(data)
         response.close()
         usage = response.usage
-        if response.status >= _SUCCESS_BELOW:
+        if response.status >= _MIN_FAILURE_STATUS:
             error = ErrorKind.UPSTREAM_FAILED.value
     except AspengateError as failure:
         error = failure.kind.value
@@ -58,7 +57,7 @@
 
 
 def cost_of(dispatch: Dispatch, usage: TokenUsage) -> int:
-    """Return the cost in credits, never above what was reserved."""
+    """Return the cost in credits, at most the reserved ``dispatch.upper_bound``."""
     cost = (
         dispatch.price_call
         + dispatch.price_input * usage.input_tokens
