--- a/src/aspengate/adapters/__init__.py
+++ b/src/aspengate/adapters/__init__.py
@@ -1,4 +1,4 @@
-"""The outside systems that the fleet meets, each behind one small adapter."""
+"""Clients of the key-value store, the upstreams and the platform's instance list."""
 
 from aspengate.adapters._documents import DocumentCodec, StoreDocument, VersionedValue
 from aspengate.adapters._engine import (
--- a/src/aspengate/adapters/_documents.py
+++ b/src/aspengate/adapters/_documents.py
@@ -1,4 +1,4 @@
-"""Documents in the store that are changed by compare-and-swap, each write known by an id."""
+"""Documents in the store, updated by compare-and-swap with an operation id for each write."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -10,14 +10,14 @@
 from aspengate.errors import AspengateError, ErrorKind
 
 _MAX_CONFLICTS = 50
-_MAX_UNKNOWN = 3
+_MAX_UNKNOWN_OUTCOMES = 3
 
 _Value = TypeVar("_Value", bound=msgspec.Struct)
 
 
 @dataclass(frozen=True)
 class VersionedValue(Generic[_Value]):
-    """A document's value and the store revision at which it was read or written."""
+    """Holds a document's value and the store revision at which it was read or written."""
 
     value: _Value
     revision: int
@@ -25,17 +25,18 @@
 
 @dataclass(frozen=True)
 class DocumentCodec(Generic[_Value]):
-    """How a document becomes bytes and back; ``decode`` raises INTERNAL for other bytes."""
+    """Converts a document to bytes and back; ``decode`` raises INTERNAL for malformed bytes."""
 
     encode: Callable[[_Value], bytes]
     decode: Callable[[bytes], _Value]
 
 
 class StoreDocument(Generic[_Value]):
-    """One key of the store that holds one MessagePack document.
+    """Reads and updates the document under one key of the store, by default as MessagePack.
 
-    ``has_applied`` tells from a value whether the write with an operation id took effect; with
-    it a write whose answer was lost is recognised instead of being done twice.
+    ``has_applied`` returns whether a value contains the effect of the write with an operation
+    id. A write that took effect although its response was lost is thereby not applied twice.
+    ``empty`` is the value of a key that does not exist.
     """
 
     def __init__(
@@ -50,10 +51,10 @@
         self.key = key
         self.empty = empty
         self._has_applied = has_applied
-        self._codec = codec or _plain_codec(type(empty))
+        self._codec = codec or _msgpack_codec(type(empty))
 
     def read(self) -> VersionedValue[_Value]:
-        """Return the document as the store has it now.
+        """Return the document from the store, or the empty document if the key does not exist.
 
         Raises AspengateError of kind STORE_UNAVAILABLE.
         """
@@ -63,11 +64,11 @@
         return VersionedValue(self.decode(entry.value), entry.revision)
 
     def decode(self, value: bytes) -> _Value:
-        """Return the document that the bytes of a store value hold; raises INTERNAL."""
+        """Return the document decoded from a store value; raises INTERNAL for malformed bytes."""
         return self._codec.decode(value)
 
     def swap(self, base: VersionedValue[_Value], value: _Value) -> VersionedValue[_Value] | None:
-        """Write ``value`` over ``base``; return ``None`` where another write came first.
+        """Write ``value`` if the document is still at ``base``; return ``None`` on a conflict.
 
         Raises AspengateError of kind STORE_UNAVAILABLE or OUTCOME_UNKNOWN.
         """
@@ -80,38 +81,44 @@
         transition: Callable[[_Value], _Value],
         base: VersionedValue[_Value] | None = None,
     ) -> VersionedValue[_Value]:
-        """Apply ``transition`` until it is written over an unchanged value; return the result.
+        """Apply ``transition`` and write its result, again after each conflict; return the result.
 
-        ``transition`` may raise to give up; it must mark its result with ``operation_id``.
-        Raises AspengateError of kind STORE_UNAVAILABLE, or OUTCOME_UNKNOWN where it stays
-        unknown whether the write took effect.
+        ``transition`` may raise to abort the update; its result must contain ``operation_id``,
+        so that ``has_applied`` recognises it. Raises AspengateError of kind STORE_UNAVAILABLE,
+        OUTCOME_UNKNOWN if it cannot be determined whether the write took effect, or CONFLICT
+        after too many concurrent writes.
         """
         current = base if base is not None else self.read()
-        unknown = 0
+        unknown_outcomes = 0
         for _ in range(_MAX_CONFLICTS):
             if self._has_applied(current.value, operation_id):
                 return current
             try:
                 written = self.swap(current, transition(current.value))
             except AspengateError as error:
-                unknown += 1
-                if error.kind is not ErrorKind.OUTCOME_UNKNOWN or unknown > _MAX_UNKNOWN:
+                unknown_outcomes += 1
+                if (
+                    error.kind is not ErrorKind.OUTCOME_UNKNOWN
+                    or unknown_outcomes > _MAX_UNKNOWN_OUTCOMES
+                ):
                     raise
-                current = self._read_after_loss(error)
+                current = self._read_after_unknown_outcome(error)
                 continue
             if written is not None:
                 return written
             current = self.read()
         raise AspengateError(ErrorKind.CONFLICT, "too many concurrent writes", where=self.key)
 
-    def _read_after_loss(self, lost: AspengateError) -> VersionedValue[_Value]:
+    def _read_after_unknown_outcome(
+        self, unknown_outcome: AspengateError
+    ) -> VersionedValue[_Value]:
         try:
             return self.read()
         except AspengateError:
-            raise lost from None
+            raise unknown_outcome from None
 
 
-def _plain_codec(value_type: type[_Value]) -> DocumentCodec[_Value]:
+def _msgpack_codec(value_type: type[_Value]) -> DocumentCodec[_Value]:
     decoder = msgspec.msgpack.Decoder(value_type)
 
     def decode(data: bytes) -> _Value:
--- a/src/aspengate/adapters/_engine.py
+++ b/src/aspengate/adapters/_engine.py
@@ -1,4 +1,4 @@
-"""Adapters for what runs behind an agent: model engines and plain services."""
+"""HTTP clients of the upstream beside an agent: a model engine or a plain service."""
 
 import http.client
 import json
@@ -11,15 +11,19 @@
 from aspengate.errors import AspengateError, ErrorKind
 
 _READ_BYTES = 64 * 1024
-_HOP_HEADERS = frozenset(
+_HOP_BY_HOP_HEADERS = frozenset(
     {"connection", "keep-alive", "transfer-encoding", "te", "trailer", "upgrade", "host"}
 )
-_REQUEST_DROPPED = _HOP_HEADERS | {"authorization", "content-length", "accept-encoding"}
+_REMOVED_REQUEST_HEADERS = _HOP_BY_HOP_HEADERS | {
+    "authorization",
+    "content-length",
+    "accept-encoding",
+}
 
 
 @dataclass(frozen=True)
 class UpstreamRequest:
-    """A request as the upstream is to see it; ``timeout_ms`` bounds each wait for bytes."""
+    """A request to the upstream; ``timeout_ms`` limits each wait for bytes."""
 
     method: str
     path: str
@@ -31,7 +35,7 @@
 
 @dataclass(frozen=True)
 class TokenUsage:
-    """The tokens that a run took in and gave out."""
+    """The numbers of input and output tokens of a run."""
 
     input_tokens: int = 0
     output_tokens: int = 0
@@ -42,7 +46,7 @@
 
 @dataclass
 class UpstreamResponse:
-    """An answer that is still being read; ``usage`` is final once ``chunks`` has ended."""
+    """A response that is read as it arrives; ``usage`` is final when ``chunks`` has ended."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -52,13 +56,13 @@
 
 
 class Upstream(Protocol):
-    """What an agent needs of the process that it stands beside."""
+    """Interface through which an agent sends requests to its upstream."""
 
     def send(self, request: UpstreamRequest) -> UpstreamResponse:
         """Start a run.
 
-        Raises AspengateError: of kind NO_UPSTREAM where the run certainly did not start, of
-        kind UPSTREAM_FAILED where it may have.
+        Raises AspengateError of kind NO_UPSTREAM if the run certainly did not start, or of
+        kind UPSTREAM_FAILED if it may have started.
         """
 
 
@@ -67,7 +71,7 @@
 
 
 def register_upstream(protocol: str) -> Callable[[UpstreamFactory], UpstreamFactory]:
-    """Register the adapter for ``protocol``, a name in the settings of an agent."""
+    """Register an adapter for ``protocol``, the value of an agent's setting of that name."""
 
     def register(factory: UpstreamFactory) -> UpstreamFactory:
         _UPSTREAMS[protocol] = factory
@@ -77,7 +81,10 @@
 
 
 def open_upstream(protocol: str, address: str) -> Upstream:
-    """Return the adapter for ``protocol`` towards ``address``."""
+    """Return an adapter for ``protocol`` that sends to ``address``.
+
+    Raises AspengateError of kind BAD_REQUEST if no adapter is registered for the protocol.
+    """
     factory = _UPSTREAMS.get(protocol)
     if factory is None:
         known = ", ".join(sorted(_UPSTREAMS))
@@ -89,27 +96,32 @@
 
 @register_upstream("plain")
 class PlainUpstream:
-    """A plain HTTP service; methods, headers and bodies pass through whole."""
+    """Client of a plain HTTP service; passes methods and bodies through unchanged.
+
+    Headers pass through except hop-by-hop headers and, in requests, those in
+    ``_REMOVED_REQUEST_HEADERS``.
+    """
 
     def __init__(self, address: str) -> None:
         self.address = address
 
     def send(self, request: UpstreamRequest) -> UpstreamResponse:
         """Start a run at the service."""
-        connection, answer = _request(self.address, request)
+        connection, http_response = _request(self.address, request)
         response = UpstreamResponse(
-            answer.status, _response_headers(answer), iter(()), connection.close
+            http_response.status, _response_headers(http_response), iter(()), connection.close
         )
-        response.chunks = _read_body(connection, answer)
+        response.chunks = _read_body(connection, http_response)
         return response
 
 
 @register_upstream("completion")
 class CompletionUpstream:
-    """A model engine with the usual completions interface.
+    """Client of a model engine with the usual completions interface.
 
-    Its usage is read from the answer: the ``usage`` object of a JSON body, or of the last event
-    of a stream that has one.
+    Token usage is read from the response: from the ``usage`` object of a JSON body, or of the
+    last event in a stream that has one. Without one, each event of a stream counts as one
+    output token.
     """
 
     def __init__(self, address: str) -> None:
@@ -126,12 +138,14 @@
             request.priority,
             request.timeout_ms,
         )
-        connection, answer = _request(self.address, prioritised)
+        connection, http_response = _request(self.address, prioritised)
         response = UpstreamResponse(
-            answer.status, _response_headers(answer), iter(()), connection.close
+            http_response.status, _response_headers(http_response), iter(()), connection.close
+        )
+        is_event_stream = http_response.getheader("Content-Type", "").startswith(
+            "text/event-stream"
         )
-        streams = answer.getheader("Content-Type", "").startswith("text/event-stream")
-        chunks = _with_usage(response, _read_body(connection, answer), streams)
+        chunks = _with_usage(response, _read_body(connection, http_response), is_event_stream)
         response.chunks = chunks
         response.close = chunks.close
         return response
@@ -145,28 +159,34 @@
         connection.connect()
     except OSError as error:
         raise AspengateError(ErrorKind.NO_UPSTREAM, repr(error), where=address) from error
-    kept = {name: value for name, value in request.headers if name.lower() not in _REQUEST_DROPPED}
+    headers = {
+        name: value
+        for name, value in request.headers
+        if name.lower() not in _REMOVED_REQUEST_HEADERS
+    }
     try:
-        connection.request(request.method, request.path, request.body or None, kept)
+        connection.request(request.method, request.path, request.body or None, headers)
         return connection, connection.getresponse()
     except (OSError, http.client.HTTPException) as error:
         connection.close()
         raise AspengateError(ErrorKind.UPSTREAM_FAILED, repr(error), where=address) from error
 
 
-def _response_headers(answer: http.client.HTTPResponse) -> tuple[tuple[str, str], ...]:
+def _response_headers(http_response: http.client.HTTPResponse) -> tuple[tuple[str, str], ...]:
     return tuple(
-        (name, value) for name, value in answer.getheaders() if name.lower() not in _HOP_HEADERS
+        (name, value)
+        for name, value in http_response.getheaders()
+        if name.lower() not in _HOP_BY_HOP_HEADERS
     )
 
 
 def _read_body(
-    connection: http.client.HTTPConnection, answer: http.client.HTTPResponse
+    connection: http.client.HTTPConnection, http_response: http.client.HTTPResponse
 ) -> Iterator[bytes]:
     try:
-        while data := answer.read1(_READ_BYTES):
+        while data := http_response.read1(_READ_BYTES):
             yield data
-        if answer.length:
+        if http_response.length:
             raise AspengateError(ErrorKind.UPSTREAM_FAILED, "the answer was cut short")
     except (OSError, http.client.HTTPException) as error:
         raise AspengateError(ErrorKind.UPSTREAM_FAILED, repr(error)) from error
@@ -184,24 +204,24 @@
 
 
 _USAGE_DECODER = msgspec.json.Decoder(_UsageEnvelope)
-_TAIL_BYTES = 8 * 1024
+_USAGE_TAIL_BYTES = 8 * 1024
 
 
 def _with_usage(
-    response: UpstreamResponse, chunks: Iterator[bytes], streams: bool
+    response: UpstreamResponse, chunks: Iterator[bytes], is_event_stream: bool
 ) -> Generator[bytes, None, None]:
-    kept = b""
-    events = 0
+    buffered = b""
+    event_count = 0
     try:
         for data in chunks:
-            kept += data
-            if streams:
-                events += data.count(b"data:")
-                kept = kept[-_TAIL_BYTES:]
+            buffered += data
+            if is_event_stream:
+                event_count += data.count(b"data:")
+                buffered = buffered[-_USAGE_TAIL_BYTES:]
             yield data
     finally:
-        reported = _usage_of_events(kept) if streams else _usage_of_body(kept)
-        response.usage = reported or TokenUsage(output_tokens=events)
+        reported = _usage_of_events(buffered) if is_event_stream else _usage_of_body(buffered)
+        response.usage = reported or TokenUsage(output_tokens=event_count)
 
 
 def _usage_of_events(tail: bytes) -> TokenUsage:
--- a/src/aspengate/adapters/_etcd.py
+++ b/src/aspengate/adapters/_etcd.py
@@ -1,4 +1,4 @@
-"""The store adapter for the JSON gateway of etcd v3."""
+"""Store client for the JSON gateway of etcd v3."""
 
 import base64
 import http.client
@@ -16,9 +16,9 @@
 
 
 class EtcdStore:
-    """Talks to one address of the store over HTTP.
+    """Calls one address of the store over HTTP.
 
-    ``address`` is ``host:port``. Connections are opened for each call, since the fleet makes few.
+    ``address`` is ``host:port``. Each call opens a connection, since the fleet makes few calls.
     """
 
     def __init__(self, address: str, call_timeout_s: float = _CALL_TIMEOUT_S) -> None:
@@ -26,7 +26,7 @@
         self.call_timeout_s = call_timeout_s
 
     def get(self, key: str) -> Entry | None:
-        """Return the value under ``key``, if any."""
+        """Return the entry under ``key``, or ``None`` if the key does not exist."""
         reply = self._call("/v3/kv/range", {"key": _encode(key.encode())})
         pairs = reply.get("kvs", [])
         if not pairs:
@@ -34,7 +34,10 @@
         return Entry(base64.b64decode(pairs[0]["value"]), int(pairs[0]["mod_revision"]))
 
     def compare_and_swap(self, key: str, revision: int, value: bytes) -> int | None:
-        """Write ``value`` if the key is still at ``revision``; return the new revision."""
+        """Write ``value`` if the key is still at ``revision``; return the new revision.
+
+        Return ``None`` if another write came first.
+        """
         encoded = _encode(key.encode())
         reply = self._call(
             "/v3/kv/txn",
@@ -56,7 +59,7 @@
         return int(reply["header"]["revision"])
 
     def watch(self, key: str, after_revision: int, timeout_ms: float) -> Entry | None:
-        """Wait for a revision of ``key`` above ``after_revision``."""
+        """Wait for a revision of ``key`` above ``after_revision``; ``None`` on a timeout."""
         body = {
             "create_request": {
                 "key": _encode(key.encode()),
--- a/src/aspengate/adapters/_instances.py
+++ b/src/aspengate/adapters/_instances.py
@@ -1,4 +1,4 @@
-"""The platform's list of live and leaving instances."""
+"""Client of the platform's list of live and leaving instances."""
 
 import enum
 import http.client
@@ -12,16 +12,16 @@
 
 
 class InstanceState(enum.Enum):
-    """What the platform says of an instance."""
+    """State of an instance in the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class Instance(msgspec.Struct, frozen=True):
-    """One process of the fleet as the platform lists it.
+    """One process of the fleet, as listed by the platform.
 
-    ``role`` is ``router`` or ``agent``; ``service`` names what an agent's upstream serves;
+    ``role`` is ``router`` or ``agent``; ``service`` is the service of an agent's upstream;
     ``upstream`` is the upstream's name in the operators' table.
     """
 
@@ -36,7 +36,7 @@
 
 
 class InstanceList(Protocol):
-    """Where a router learns which instances there are; the list lags."""
+    """Interface to the list of instances; the list lags behind the actual state."""
 
     def instances(self) -> tuple[Instance, ...]:
         """Return all listed instances; raises AspengateError of kind STORE_UNAVAILABLE."""
--- a/src/aspengate/adapters/_store.py
+++ b/src/aspengate/adapters/_store.py
@@ -1,4 +1,4 @@
-"""What the fleet asks of the platform's key-value service."""
+"""Interface to the platform's key-value store."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -6,28 +6,28 @@
 
 @dataclass(frozen=True)
 class Entry:
-    """A value of the store with the revision at which it was written."""
+    """Holds a value of the store and the revision at which it was written."""
 
     value: bytes
     revision: int
 
 
 class Store(Protocol):
-    """The platform's key-value service, seen through one adapter.
+    """Interface to the platform's key-value store, implemented by an adapter.
 
-    Every method raises AspengateError: of kind STORE_UNAVAILABLE where the call certainly had
-    no effect, of kind OUTCOME_UNKNOWN where a write may have taken effect although its answer
+    Every method raises AspengateError of kind STORE_UNAVAILABLE if the call certainly had no
+    effect, or of kind OUTCOME_UNKNOWN if a write may have taken effect although its response
     was lost.
     """
 
     def get(self, key: str) -> Entry | None:
-        """Return the value under ``key``, if any."""
+        """Return the entry under ``key``, or ``None`` if the key does not exist."""
 
     def compare_and_swap(self, key: str, revision: int, value: bytes) -> int | None:
-        """Write ``value`` if the key is still at ``revision`` (0: absent).
+        """Write ``value`` if the key is still at ``revision`` (0: the key does not exist).
 
-        Return the new revision, or ``None`` where another write came first.
+        Return the new revision, or ``None`` if another write came first.
         """
 
     def watch(self, key: str, after_revision: int, timeout_ms: float) -> Entry | None:
-        """Wait until ``key`` has a revision above ``after_revision``; ``None`` on time-out."""
+        """Wait for a revision of ``key`` above ``after_revision``; ``None`` on a timeout."""
