--- a/features/configuration.feature
+++ b/features/configuration.feature
@@ -1,24 +1,24 @@
-Feature: An accepted edit is in force everywhere and never reverts
+Feature: An accepted edit takes effect on every router and is never reverted
 
-  Scenario: Any edits, lost answers and late messages leave every follower on the accepted table
-    When operators edit, answers are lost, the store goes down and old logs arrive, in any order
-    Then no follower ever goes back, and in the end all have the rows that were accepted
+  Scenario: Followers converge on the accepted table despite lost responses and late messages
+    When edits, lost store responses, store outages and outdated logs occur in any order
+    Then no follower's version ever decreases, and in the end all followers have the accepted rows
 
-  Scenario: A compaction that breaks off anywhere loses nothing
+  Scenario: A compaction that is interrupted at any call loses nothing
     Given a table whose log is about to be compacted
-    When the store goes down after each of its next calls in turn
-    Then after it is back the rows and the whole history are there
+    When the store fails after 0 to 19 further calls, one run for each
+    Then after its recovery the rows and the complete history are intact
 
-  Scenario: A follower that was away for long reads the snapshot
+  Scenario: A follower that missed many edits reads the snapshot
     Given a follower that has seen version 1
-    When 40 more edits are accepted while it is away
-    Then one look brings it to version 41 with the right rows
+    When 40 more edits are accepted while it does not refresh
+    Then one refresh brings it to version 41 with the right rows
 
-  Scenario: An edit whose answer was lost is accepted once
-    Given a store that loses the answer of the next write
+  Scenario: An edit whose response was lost is accepted exactly once
+    Given a store whose response to the next write is lost
     When an operator adds a service
-    Then the table has it at version 1 with one entry of history
+    Then the table contains it at version 1 with one history entry
 
-  Scenario: A budget shard's stored form holds everything
-    When any budget shards are written to their stored form and read again
-    Then they are as they were
+  Scenario: Encoding a budget shard for storage preserves every field
+    When arbitrary budget shards are encoded for storage and decoded again
+    Then the decoded shards equal the originals
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -48,14 +48,14 @@
         st.tuples(st.just("edit"), st.sampled_from("ab"), st.integers(-10, 10)),
         st.tuples(st.just("lose"), st.integers(1, 4)),
         st.tuples(st.just("down"), st.booleans()),
-        st.tuples(st.just("look"), st.integers(0, 1)),
+        st.tuples(st.just("refresh"), st.integers(0, 1)),
         st.tuples(st.just("old log"), st.integers(0, 1), st.integers(0, 30)),
     ),
     max_size=60,
 )
 
 
-@when("operators edit, answers are lost, the store goes down and old logs arrive, in any order")
+@when("edits, lost store responses, store outages and outdated logs occur in any order")
 def any_edits(context):
     @for_all(EVENTS)
     def check(events):
@@ -65,7 +65,7 @@
         logs, versions = [editor.storage.log.read().value], [0, 0]
         for event in events:
             with contextlib.suppress(AspengateError):
-                take(event, store, editor, followers, logs)
+                apply_event(event, store, editor, followers, logs)
             for number, follower in enumerate(followers):
                 assert follower.view.version >= versions[number]
                 versions[number] = follower.view.version
@@ -82,7 +82,7 @@
     context.check = check
 
 
-def take(event, store, editor, followers, logs):
+def apply_event(event, store, editor, followers, logs):
     kind, *values = event
     if kind == "edit":
         set_priority(editor, *values)
@@ -91,20 +91,20 @@
         store.faults.lose_answers = values[0]
     elif kind == "down":
         store.faults.down = values[0]
-    elif kind == "look":
+    elif kind == "refresh":
         followers[values[0]].refresh()
     else:
         followers[values[0]].offer(logs[values[1] % len(logs)])
 
 
-@then("no follower ever goes back, and in the end all have the rows that were accepted")
-@then("they are as they were")
+@then("no follower's version ever decreases, and in the end all followers have the accepted rows")
+@then("the decoded shards equal the originals")
 def run_check(context):
     context.check()
 
 
 class FailingStore(MemoryStore):
-    """Goes down after some more calls."""
+    """A store that fails once ``calls_left`` further calls were made."""
 
     def __init__(self):
         super().__init__()
@@ -122,8 +122,8 @@
     context.edits_before = 8
 
 
-@when("the store goes down after each of its next calls in turn")
-def down_after_each(context):
+@when("the store fails after 0 to 19 further calls, one run for each")
+def fail_after_each_call(context):
     context.outcomes = []
     for calls in range(20):
         store = FailingStore()
@@ -140,8 +140,8 @@
         context.outcomes.append((version, editor))
 
 
-@then("after it is back the rows and the whole history are there")
-def nothing_lost(context):
+@then("after its recovery the rows and the complete history are intact")
+def everything_intact(context):
     assert {version for version, _ in context.outcomes} == {8, 9}
     for version, editor in context.outcomes:
         rows = {each.name: each.priority for each in editor.storage.read().rows}
@@ -151,7 +151,7 @@
 
 
 @given("a follower that has seen version 1")
-def seen_one(context):
+def follower_at_version_one(context):
     context.store = MemoryStore()
     context.editor = editor_of(context.store)
     set_priority(context.editor, "a", 0)
@@ -160,34 +160,34 @@
     assert context.follower.view.version == 1
 
 
-@when("{count:d} more edits are accepted while it is away")
+@when("{count:d} more edits are accepted while it does not refresh")
 def more_edits(context, count):
     for number in range(count):
         set_priority(context.editor, "ab"[number % 2], number % 10)
 
 
-@then("one look brings it to version {version:d} with the right rows")
-def one_look(context, version):
+@then("one refresh brings it to version {version:d} with the right rows")
+def one_refresh(context, version):
     context.follower.refresh()
     assert context.follower.view.version == version
     rows = {each.name: each for each in context.editor.storage.read().rows}
     assert context.follower.view.services == rows
 
 
-@given("a store that loses the answer of the next write")
-def loses(context):
+@given("a store whose response to the next write is lost")
+def store_loses_response(context):
     context.store = MemoryStore()
     context.store.faults.lose_answers = 1
     context.editor = editor_of(context.store)
 
 
 @when("an operator adds a service")
-def adds(context):
+def add_service(context):
     context.version = set_priority(context.editor, "a", 1)
 
 
-@then("the table has it at version 1 with one entry of history")
-def once(context):
+@then("the table contains it at version 1 with one history entry")
+def accepted_once(context):
     assert context.store.faults.lose_answers == 0
     assert context.version == 1
     assert len(context.editor.storage.history()) == 1
@@ -215,7 +215,7 @@
 )
 
 
-@when("any budget shards are written to their stored form and read again")
+@when("arbitrary budget shards are encoded for storage and decoded again")
 def stored_form(context):
     @for_all(SHARDS)
     def check(shard):
--- a/src/aspengate/billing/__init__.py
+++ b/src/aspengate/billing/__init__.py
@@ -1,4 +1,4 @@
-"""Invoices, made from what is settled in the store."""
+"""Invoices, computed from the settled charges in the store."""
 
 from aspengate.billing._invoice import Invoice, InvoiceLine, invoice_of
 
--- a/src/aspengate/billing/_invoice.py
+++ b/src/aspengate/billing/_invoice.py
@@ -1,4 +1,4 @@
-"""What one client account was billed."""
+"""The invoice of one client account."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True)
 class InvoiceLine:
-    """The total of one service paid from one budget, in credits."""
+    """The total billed for one service to one budget, in credits."""
 
     budget: str
     service: str
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class Invoice:
-    """The totals of an account, and the single calls of itemised services."""
+    """Holds the totals of an account and the individual calls of itemised services."""
 
     client_account: str
     lines: tuple[InvoiceLine, ...]
@@ -25,7 +25,7 @@
 
     @property
     def total(self) -> int:
-        """Everything billed, in credits."""
+        """The sum of all lines, in credits."""
         return sum(line.credits for line in self.lines)
 
     def table(self) -> list[tuple[str, str, str, int]]:
@@ -48,7 +48,7 @@
 
 
 def invoice_of(client_account: str, shards: Iterable[Shard]) -> Invoice:
-    """Return the invoice of an account from all budget shards."""
+    """Return the invoice of an account; ``shards`` must be all budget shards."""
     lines: list[InvoiceLine] = []
     items: list[BilledItem] = []
     for shard in shards:
--- a/src/aspengate/router/_table.py
+++ b/src/aspengate/router/_table.py
@@ -182,7 +182,7 @@
 
         def edit(table: TableDocument, log: TableLog) -> TableLog:
             changed = apply_changes(table, log, operation, changes, actor, now)
-            rows = table.after(changed.entries).rows
+            rows = table.with_edits(changed.entries).rows
             check_rows(rows, lambda name: name not in budgets or budgets[name])
             return changed
 
--- a/src/aspengate/table/__init__.py
+++ b/src/aspengate/table/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' table: its rows, its CSV form, its document in the store, its edits."""
+"""The operators' configuration table: row types, CSV conversion, storage and edits."""
 
 from aspengate.table._csv import rows_from_csv, rows_to_csv
 from aspengate.table._document import (
--- a/src/aspengate/table/_csv.py
+++ b/src/aspengate/table/_csv.py
@@ -1,4 +1,4 @@
-"""The table as CSV that a spreadsheet opens."""
+"""Conversion of the table to and from CSV that spreadsheets can open."""
 
 import csv
 import io
@@ -22,10 +22,11 @@
 
 
 def rows_from_csv(text: str) -> tuple[AnyRow, ...]:
-    """Return the rows of a CSV text.
+    """Parse a CSV text and return its rows.
 
-    Raises AspengateError of kind BAD_REQUEST that names line and column. A cell that a
-    spreadsheet would run as a formula is refused, but for numbers.
+    Raises AspengateError of kind BAD_REQUEST, which names the line and, if known, the column,
+    for an invalid row and for a cell that a spreadsheet would run as a formula (numbers such as
+    ``-1`` are accepted). Raises kind TOO_LARGE for a text above 32 MB.
     """
     if len(text) > _MAX_CSV_CHARACTERS:
         raise AspengateError(ErrorKind.TOO_LARGE, "the table is above 32 MB")
@@ -39,7 +40,7 @@
                 raise AspengateError(
                     ErrorKind.BAD_REQUEST, "has not as many cells as the header", where=where
                 )
-            _refuse_formulas(cells, where)
+            _reject_formulas(cells, where)
             rows.append(row_from_cells(cells, where))
     except csv.Error as error:
         where = f"line {reader.line_num}"
@@ -59,7 +60,7 @@
         )
 
 
-def _refuse_formulas(cells: dict[str, str], where: str) -> None:
+def _reject_formulas(cells: dict[str, str], where: str) -> None:
     for column, text in cells.items():
         if text.startswith(_FORMULA_STARTS) and not _is_number(text):
             raise AspengateError(
--- a/src/aspengate/table/_document.py
+++ b/src/aspengate/table/_document.py
@@ -1,7 +1,8 @@
-"""The table as a value, the log of its edits, and how an edit changes it.
+"""The stored documents of the table, its edit log and its audit trail, and how edits apply.
 
-Budget rows are not in it: a budget's limit stands beside its money, in its shard document, so
-that the rule between the two holds in one value. See ``aspengate.budgets``.
+Budget rows are not part of the table document. A budget's limit is stored with its balances in
+its shard document, so that the invariant between the two is kept by updates of a single value.
+See ``aspengate.budgets``.
 """
 
 from collections.abc import Iterable
@@ -16,12 +17,12 @@
     row_to_cells,
 )
 
-_HISTORY_KEPT = 500
-_OPERATIONS_KEPT = 64
+_MAX_HISTORY_ENTRIES = 500
+_MAX_OPERATION_IDS = 64
 
 
 class RowChange(msgspec.Struct, frozen=True):
-    """One row before and after an edit; ``None`` where there is none."""
+    """One row before and after an edit; ``None`` if the row did not or does not exist."""
 
     before: AnyRow | None
     after: AnyRow | None
@@ -36,7 +37,7 @@
 
 
 class AuditEntry(msgspec.Struct, frozen=True):
-    """One accepted edit: who changed what, when (ms), and the version it led to."""
+    """One accepted edit: its actor, its time (ms), its changes and the resulting version."""
 
     version: int
     actor: str
@@ -45,17 +46,17 @@
 
 
 class TableDocument(msgspec.Struct, frozen=True):
-    """The rows at one version; the version grows by one with each accepted edit."""
+    """The rows at one version; each accepted edit increments the version by one."""
 
     version: int = 0
     rows: tuple[AnyRow, ...] = ()
 
     def has_applied(self, operation_id: str) -> bool:
-        """Return false: copies of the rows are told apart by their version only."""
+        """Return false: copies of the rows are distinguished by their version only."""
         return False
 
-    def after(self, entries: Iterable[AuditEntry]) -> "TableDocument":
-        """Return the rows after those of the accepted edits that are newer."""
+    def with_edits(self, entries: Iterable[AuditEntry]) -> "TableDocument":
+        """Return the document with those of the accepted edits applied that are newer than it."""
         rows: dict[tuple[str, str], AnyRow] = {row.identity: row for row in self.rows}
         version = self.version
         for entry in entries:
@@ -63,15 +64,15 @@
                 continue
             version = entry.version
             for change in entry.changes:
-                _apply(rows, change)
+                _apply_change(rows, change)
         return TableDocument(version, tuple(rows.values()))
 
 
 class TableLog(msgspec.Struct, frozen=True):
-    """The latest accepted edits; an edit is accepted by being written here.
+    """Holds the latest accepted edits; an edit is accepted once it is written here.
 
-    ``base_version`` is the version before the first of ``entries``; the rows up to there, or
-    later, stand in the snapshot.
+    ``base_version`` is the version before the first of ``entries``. The snapshot holds the rows
+    at that version or a later one. ``operations`` are the ids of the latest accepted edits.
     """
 
     base_version: int = 0
@@ -84,11 +85,11 @@
         return self.entries[-1].version if self.entries else self.base_version
 
     def has_applied(self, operation_id: str) -> bool:
-        """Return whether the edit with this id is among the latest that were accepted."""
+        """Return whether the edit with this id is among the latest accepted ones."""
         return operation_id in self.operations
 
     def budgets_changed_since(self, version: int) -> frozenset[str]:
-        """Return the budgets whose rows were changed after ``version``, as far as known here."""
+        """Return the budgets whose rows this log records as changed after ``version``."""
         return frozenset(
             change.identity[1]
             for entry in self.entries
@@ -97,26 +98,26 @@
             if change.identity[0] == BudgetRow.kind
         )
 
-    def without(self, version: int) -> "TableLog":
-        """Return the log without the edits up to ``version``, which a snapshot holds."""
+    def without_entries_up_to(self, version: int) -> "TableLog":
+        """Return the log without the edits up to ``version``, which the snapshot contains."""
         kept = tuple(entry for entry in self.entries if entry.version > version)
         return TableLog(max(self.base_version, min(version, self.version)), kept, self.operations)
 
 
 class TableHistory(msgspec.Struct, frozen=True):
-    """The audit trail of edits that have left the log, the latest last; its size is bounded."""
+    """The bounded audit trail of edits that were moved out of the log, the latest last."""
 
     entries: tuple[AuditEntry, ...] = ()
 
     def has_applied(self, operation_id: str) -> bool:
-        """Return false: entries are told apart by their version."""
+        """Return false: entries are distinguished by their version."""
         return False
 
-    def plus(self, entries: Iterable[AuditEntry]) -> "TableHistory":
-        """Return the trail with the entries that it lacks."""
+    def with_entries(self, entries: Iterable[AuditEntry]) -> "TableHistory":
+        """Return the trail with those of the entries appended that are newer than its latest."""
         latest = self.entries[-1].version if self.entries else 0
         fresh = tuple(entry for entry in entries if entry.version > latest)
-        return TableHistory((*self.entries, *fresh)[-_HISTORY_KEPT:])
+        return TableHistory((*self.entries, *fresh)[-_MAX_HISTORY_ENTRIES:])
 
 
 def apply_changes(
@@ -127,10 +128,10 @@
     actor: str,
     now_ms: int,
 ) -> TableLog:
-    """Return the log after an edit of the rows in ``document``.
+    """Return the log with an edit of the rows in ``document`` appended.
 
-    Raises AspengateError of kind CONFLICT, which shows the row as it is now, where a row is not
-    as the operator saw it. Budgets are checked where their limits stand.
+    Raises AspengateError of kind CONFLICT, which shows the current row, if a row differs from
+    the one that the operator saw. Budget rows are not checked here but with their shard.
     """
     rows: dict[tuple[str, str], AnyRow] = {row.identity: row for row in document.rows}
     for change in changes:
@@ -138,13 +139,13 @@
             continue
         if rows.get(change.identity) != change.before:
             raise _conflict(change, rows.get(change.identity), log)
-        _apply(rows, change)
+        _apply_change(rows, change)
     entry = AuditEntry(document.version + 1, actor, now_ms, changes)
-    operations = (*log.operations, operation_id)[-_OPERATIONS_KEPT:]
+    operations = (*log.operations, operation_id)[-_MAX_OPERATION_IDS:]
     return TableLog(log.base_version, (*log.entries, entry), operations)
 
 
-def _apply(rows: dict[tuple[str, str], AnyRow], change: RowChange) -> None:
+def _apply_change(rows: dict[tuple[str, str], AnyRow], change: RowChange) -> None:
     if change.identity[0] == BudgetRow.kind:
         return
     if change.after is None:
--- a/src/aspengate/table/_rows.py
+++ b/src/aspengate/table/_rows.py
@@ -1,4 +1,4 @@
-"""The kinds of rows of the operators' table, and how a row is read and checked."""
+"""The row types of the operators' table, and their parsing and validation."""
 
 import hashlib
 import re
@@ -15,7 +15,7 @@
 
 
 class Row(msgspec.Struct, frozen=True, kw_only=True, tag_field="kind", forbid_unknown_fields=True):
-    """The base of all rows; ``kind`` and ``name`` together identify one."""
+    """Base class of all rows; a row is identified by ``kind`` and ``name`` together."""
 
     name: str
 
@@ -42,10 +42,10 @@
 
 @_row_kind("client_account")
 class ClientAccountRow(Row, frozen=True, kw_only=True, tag="client_account"):
-    """A customer: who may call, from which budget it pays, and how much at once.
+    """A customer: its API keys, the budget that pays for its calls, and its limits.
 
-    ``key_hashes`` are SHA-256 hashes of its API keys, separated by spaces. Limits of 0 mean
-    none; ``requests_per_second`` and ``max_concurrency`` hold for each region.
+    ``key_hashes`` are SHA-256 hashes of its API keys, separated by spaces. A limit of 0 means no
+    limit; ``requests_per_second`` and ``max_concurrency`` apply to each region separately.
     """
 
     budget: str
@@ -57,11 +57,11 @@
 
 @_row_kind("service")
 class ServiceRow(Row, frozen=True, kw_only=True, tag="service"):
-    """What callers call by name, its prices in credits, and how its calls are treated.
+    """A service that callers address by name: its prices in credits and its call policy.
 
-    ``protocol`` is ``completion`` or ``plain``. ``price_input`` and ``price_output`` are for
-    each token, ``price_call`` for each call. ``repeatable`` says whether a call may run twice;
-    ``may_wait`` whether its calls are held back first when engines are short.
+    ``protocol`` is ``completion`` or ``plain``. ``price_input`` and ``price_output`` are charged
+    for each token, ``price_call`` for each call. ``repeatable`` states whether a call may run
+    twice, ``may_wait`` whether its calls are the first to be delayed when engines are short.
     """
 
     protocol: str = "completion"
@@ -85,7 +85,7 @@
 
 @_row_kind("upstream")
 class UpstreamRow(Row, frozen=True, kw_only=True, tag="upstream"):
-    """An operator's word on one upstream: its share of work, its limit, whether it is used."""
+    """An operator's settings of one upstream: its weight, its limit, whether it is used."""
 
     weight: float = 1.0
     max_concurrency: int = 0
@@ -94,7 +94,7 @@
 
 @_row_kind("operator")
 class OperatorRow(Row, frozen=True, kw_only=True, tag="operator"):
-    """Who may read or edit the table over HTTP; ``role`` is ``reader`` or ``editor``."""
+    """A user who may read or edit the table over HTTP; ``role`` is ``reader`` or ``editor``."""
 
     key_hashes: str = ""
     role: str = "reader"
@@ -104,7 +104,7 @@
 
 
 def row_kinds() -> dict[str, type[Row]]:
-    """Return every kind of row by its name."""
+    """Return the row types by the name of their kind."""
     return dict(_KINDS)
 
 
@@ -117,7 +117,7 @@
 
 
 def hash_key(key: str) -> str:
-    """Return the hash under which an API key stands in the table."""
+    """Return the SHA-256 hash of an API key, as the table stores it."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
@@ -131,14 +131,14 @@
 
 
 def row_from_cells(cells: Mapping[str, str], where: str) -> AnyRow:
-    """Return the row that the cells describe; ``where`` names the place in errors.
+    """Return the row that the cells describe; ``where`` is the location for error messages.
 
     Raises AspengateError of kind BAD_REQUEST that names the column.
     """
     kind = cells.get("kind", "").strip()
     row_type = _KINDS.get(kind)
     if row_type is None:
-        raise _bad(where, "kind", f"{kind!r} is none of {', '.join(_KINDS)}")
+        raise _cell_error(where, "kind", f"{kind!r} is none of {', '.join(_KINDS)}")
     fields = {info.name: info for info in msgspec.structs.fields(row_type)}
     values: dict[str, Any] = {}
     for column, text in cells.items():
@@ -146,65 +146,67 @@
         if column == "kind" or not stripped:
             continue
         if column not in fields:
-            raise _bad(where, column, f"not a column of a {kind} row")
+            raise _cell_error(where, column, f"not a column of a {kind} row")
         values[column] = _cell_value(fields[column].type, stripped, where, column)
     for column, info in fields.items():
         if info.required and column not in values:
-            raise _bad(where, column, "a value is needed")
+            raise _cell_error(where, column, "a value is needed")
     row = row_type(**values)
     _check_row(row, where)
     return cast(AnyRow, row)
 
 
 def check_rows(rows: Iterable[Row], has_budget: Callable[[str], bool]) -> None:
-    """Check what holds between rows, such as that an account's budget is there.
+    """Check the constraints between rows, such as that an account's budget exists.
 
     Raises AspengateError of kind BAD_REQUEST that names the row and column.
     """
     by_identity: dict[tuple[str, str], Row] = {}
     for row in rows:
         if row.identity in by_identity:
-            raise _bad(f"{row.kind} {row.name}", "name", "stands twice in the table")
+            raise _cell_error(f"{row.kind} {row.name}", "name", "stands twice in the table")
         by_identity[row.identity] = row
     owners: dict[str, str] = {}
     for row in by_identity.values():
         where = f"{row.kind} {row.name}"
         if isinstance(row, ClientAccountRow) and not has_budget(row.budget):
-            raise _bad(where, "budget", f"there is no budget {row.budget!r}")
+            raise _cell_error(where, "budget", f"there is no budget {row.budget!r}")
         if isinstance(row, ClientAccountRow | OperatorRow):
             for key_hash in row.key_hashes.split():
                 if owners.setdefault(key_hash, row.name) != row.name:
-                    raise _bad(where, "key_hashes", f"{owners[key_hash]} has the same key")
+                    raise _cell_error(where, "key_hashes", f"{owners[key_hash]} has the same key")
 
 
 def _check_row(row: Row, where: str) -> None:
     if not _NAME_PATTERN.fullmatch(row.name):
-        raise _bad(where, "name", f"{row.name!r} is not a name of letters, digits and ._/:-")
+        raise _cell_error(where, "name", f"{row.name!r} is not a name of letters, digits and ._/:-")
     for column in row.__struct_fields__:
         value = getattr(row, column)
         if isinstance(value, int | float) and not isinstance(value, bool):
             _check_number(row, column, value, where)
     if isinstance(row, ServiceRow) and row.protocol not in {"completion", "plain"}:
-        raise _bad(where, "protocol", "must be completion or plain")
+        raise _cell_error(where, "protocol", "must be completion or plain")
     if isinstance(row, OperatorRow) and row.role not in {"reader", "editor"}:
-        raise _bad(where, "role", "must be reader or editor")
+        raise _cell_error(where, "role", "must be reader or editor")
     if isinstance(row, ClientAccountRow | OperatorRow):
         for key_hash in row.key_hashes.split():
             if len(key_hash) != 64 or not set(key_hash) <= set("0123456789abcdef"):
-                raise _bad(where, "key_hashes", "must be SHA-256 hashes, 64 hexadecimal digits")
+                raise _cell_error(
+                    where, "key_hashes", "must be SHA-256 hashes, 64 hexadecimal digits"
+                )
 
 
-_LARGEST = 2**53
+_NUMBER_LIMIT = 2**53
 _PRIORITY_RANGE = range(-10, 11)
 
 
 def _check_number(row: Row, column: str, value: float, where: str) -> None:
     if column == "priority":
         if value not in _PRIORITY_RANGE:
-            raise _bad(where, column, "must be from -10 to 10")
+            raise _cell_error(where, column, "must be from -10 to 10")
         return
-    if not 0 <= value < _LARGEST:
-        raise _bad(where, column, "must be 0 or more, below 2**53")
+    if not 0 <= value < _NUMBER_LIMIT:
+        raise _cell_error(where, column, "must be 0 or more, below 2**53")
 
 
 def _cell_value(expected: Any, text: str, where: str, column: str) -> Any:
@@ -213,13 +215,13 @@
             return True
         if text.lower() in _FALSE:
             return False
-        raise _bad(where, column, f"{text!r} is neither yes nor no")
+        raise _cell_error(where, column, f"{text!r} is neither yes nor no")
     try:
         return expected(text)
     except ValueError:
         wanted = "a whole number" if expected is int else "a number"
-        raise _bad(where, column, f"{text!r} is not {wanted}") from None
+        raise _cell_error(where, column, f"{text!r} is not {wanted}") from None
 
 
-def _bad(where: str, column: str, message: str) -> AspengateError:
+def _cell_error(where: str, column: str, message: str) -> AspengateError:
     return AspengateError(ErrorKind.BAD_REQUEST, message, where=f"{where}, column {column}")
--- a/src/aspengate/table/_view.py
+++ b/src/aspengate/table/_view.py
@@ -1,4 +1,4 @@
-"""The table as a router uses it: looked up by key and by name."""
+"""Read-only view of the table for routers, with lookups by API key and by name."""
 
 from dataclasses import dataclass, field
 
@@ -25,7 +25,7 @@
 
     @classmethod
     def of(cls, document: TableDocument) -> "TableView":
-        """Return the view of a document; accounts and operators are found by key hash."""
+        """Return the view of a document; accounts and operators are indexed by key hash."""
         accounts: dict[str, ClientAccountRow] = {}
         operators: dict[str, OperatorRow] = {}
         services: dict[str, ServiceRow] = {}
@@ -42,14 +42,14 @@
         return cls(document.version, accounts, services, upstreams, operators)
 
     def account_of(self, api_key: str) -> ClientAccountRow:
-        """Return the account that a key belongs to; raises UNAUTHENTICATED."""
+        """Return the account that owns an API key; raises UNAUTHENTICATED if there is none."""
         account = self.accounts.get(hash_key(api_key))
         if account is None:
             raise AspengateError(ErrorKind.UNAUTHENTICATED, "unknown API key")
         return account
 
     def service(self, name: str) -> ServiceRow:
-        """Return a service by name; raises NOT_FOUND."""
+        """Return a service by name; raises NOT_FOUND if there is none."""
         service = self.services.get(name)
         if service is None:
             raise AspengateError(ErrorKind.NOT_FOUND, f"there is no service {name!r}")
