--- a/src/aspengate/standins/__init__.py
+++ b/src/aspengate/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins of the platform, for the demonstration, the tests and runs by hand."""
+"""Stand-ins of the platform's services, for the demonstration, tests and manual runs."""
 
 from aspengate.standins._engine import EngineApplication, expected_words
 from aspengate.standins._faults import Faults
--- a/src/aspengate/standins/_engine.py
+++ b/src/aspengate/standins/_engine.py
@@ -1,4 +1,4 @@
-"""The stand-in of a model engine with the usual completions interface."""
+"""Stand-in of a model engine with the usual completions interface."""
 
 import json
 import threading
@@ -18,7 +18,8 @@
 class EngineApplication:
     """Generates words that depend only on the prompt, ``token_ms`` milliseconds apart.
 
-    It counts its runs by request id in ``runs``, so that a doubled run is seen.
+    ``runs`` counts the calls by request id, which reveals a request that ran twice.
+    ``cancelled`` counts the streams that were closed before their end.
     """
 
     def __init__(self, token_ms: float = 5.0, prefill_ms: float = 10.0) -> None:
@@ -29,7 +30,7 @@
         self._lock = threading.Lock()
 
     def __call__(self, environ: WsgiEnvironment, start_response: StartResponse) -> Iterable[bytes]:
-        """Answer one completion."""
+        """Respond to one completion request."""
         length = int(environ.get("CONTENT_LENGTH") or 0)
         request = json.loads(environ["wsgi.input"].read(length) or b"{}")
         with self._lock:
@@ -69,7 +70,7 @@
 
 
 def expected_words(prompt: str, count: int) -> list[str]:
-    """Return the words that the engine generates for a prompt, to check answers against."""
+    """Return the words that the engine generates for a prompt, to verify responses with."""
     seed = xxhash.xxh64_intdigest(prompt.encode())
     return [_WORDS[(seed >> (index % 48)) % len(_WORDS)] for index in range(count)]
 
--- a/src/aspengate/standins/_faults.py
+++ b/src/aspengate/standins/_faults.py
@@ -1,4 +1,4 @@
-"""Faults that a stand-in can be told to show."""
+"""Faults that can be injected into a stand-in."""
 
 import threading
 from dataclasses import dataclass, field
@@ -6,10 +6,10 @@
 
 @dataclass
 class Faults:
-    """The present faults of one stand-in.
+    """The injected faults of one stand-in.
 
-    ``delay_ms`` slows each call; ``lose_answers`` is how many coming writes take effect while
-    their answers are lost.
+    ``down`` makes each call fail, ``delay_ms`` delays each call. ``lose_answers`` is the number
+    of further writes that take effect although their responses are lost.
     """
 
     down: bool = False
@@ -17,8 +17,8 @@
     lose_answers: int = 0
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
-    def take_lost_answer(self) -> bool:
-        """Return whether the answer of this write is to be lost."""
+    def consume_lost_answer(self) -> bool:
+        """Return whether to lose the response to this write, and count it if so."""
         with self._lock:
             if self.lose_answers <= 0:
                 return False
--- a/src/aspengate/standins/_instances.py
+++ b/src/aspengate/standins/_instances.py
@@ -1,4 +1,4 @@
-"""The stand-in of the platform's instance list."""
+"""Stand-in of the platform's instance list."""
 
 import threading
 import time
@@ -11,7 +11,7 @@
 
 
 class StandInInstanceList:
-    """A list of instances whose changes show only after ``lag_ms`` milliseconds."""
+    """A list of instances whose changes become visible after ``lag_ms`` milliseconds."""
 
     def __init__(self, lag_ms: float = 0.0) -> None:
         self.lag_ms = lag_ms
@@ -19,15 +19,15 @@
         self._lock = threading.Lock()
 
     def put(self, instance: Instance) -> None:
-        """List an instance, or replace what is said of it."""
+        """Add an instance, or replace its entry."""
         with self._lock:
-            self._push({**self._history[-1][1], instance.name: instance})
+            self._append_state({**self._history[-1][1], instance.name: instance})
 
     def remove(self, name: str) -> None:
-        """Take an instance off the list."""
+        """Remove an instance from the list."""
         with self._lock:
             latest = self._history[-1][1]
-            self._push({key: value for key, value in latest.items() if key != name})
+            self._append_state({key: value for key, value in latest.items() if key != name})
 
     def instances(self) -> tuple[Instance, ...]:
         """Return the list as it was ``lag_ms`` ago."""
@@ -36,7 +36,7 @@
             shown = [state for changed, state in self._history if changed <= visible]
         return tuple(shown[-1].values()) if shown else ()
 
-    def _push(self, state: dict[str, Instance]) -> None:
+    def _append_state(self, state: dict[str, Instance]) -> None:
         self._history = [*self._history[-100:], (time.monotonic(), state)]
 
 
@@ -47,7 +47,7 @@
         self.listed = listed
 
     def __call__(self, environ: WsgiEnvironment, start_response: StartResponse) -> Iterable[bytes]:
-        """Answer one call."""
+        """Respond to one request."""
         method = environ["REQUEST_METHOD"]
         if method == "PUT":
             length = int(environ.get("CONTENT_LENGTH") or 0)
--- a/src/aspengate/standins/_service.py
+++ b/src/aspengate/standins/_service.py
@@ -1,4 +1,4 @@
-"""The stand-in of a plain service: font files, exam status, receipts."""
+"""Stand-in of a plain service: font files, exam status, receipts."""
 
 import threading
 import time
@@ -13,9 +13,9 @@
 
 
 class ServiceApplication:
-    """Answers ``GET`` with bytes that depend on the path, other methods with a new receipt.
+    """Responds to ``GET`` with bytes that depend on the path, else with a new receipt.
 
-    ``runs`` counts the calls by their idempotency key, so that a doubled run is seen.
+    ``runs`` counts the calls by idempotency key, which reveals a call that ran twice.
     """
 
     def __init__(self, work_ms: float = 5.0) -> None:
@@ -24,7 +24,7 @@
         self._lock = threading.Lock()
 
     def __call__(self, environ: WsgiEnvironment, start_response: StartResponse) -> Iterable[bytes]:
-        """Answer one call."""
+        """Respond to one request."""
         time.sleep(self.work_ms / 1_000)
         path = environ["PATH_INFO"]
         if environ["REQUEST_METHOD"] == "GET":
@@ -46,6 +46,6 @@
 
 
 def file_bytes(path: str) -> bytes:
-    """Return the file that the service holds under a path, to check answers against."""
+    """Return the file that the service serves under a path, to verify responses with."""
     seed = xxhash.xxh64_digest(path.encode())
     return (seed * (_FILE_BYTES // len(seed) + 1))[:_FILE_BYTES]
--- a/src/aspengate/standins/_settings.py
+++ b/src/aspengate/standins/_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the stand-ins, and how each is made from them."""
+"""Settings of the stand-ins, and their construction from settings."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,9 +14,9 @@
 
 @dataclass(frozen=True)
 class StandInSettings:
-    """What a stand-in is told at its start."""
+    """Settings of one stand-in process; each kind uses only those that apply to it."""
 
-    listen: str = setting("stand-in", address, "where it is reached", accepts="IP:port")
+    listen: str = setting("stand-in", address, "address for its clients", accepts="IP:port")
     token_ms: float = setting(
         "stand-in",
         number(0, 10_000),
@@ -51,7 +51,7 @@
     )
 
 
-_MAKERS: dict[str, Callable[[StandInSettings], WsgiApplication]] = {
+_FACTORIES: dict[str, Callable[[StandInSettings], WsgiApplication]] = {
     "store": lambda settings: StoreApplication(MemoryStore()),
     "instances": lambda settings: InstanceApplication(StandInInstanceList(settings.lag_ms)),
     "engine": lambda settings: EngineApplication(settings.token_ms, settings.prefill_ms),
@@ -60,9 +60,9 @@
 
 
 def make_stand_in(kind: str, settings: StandInSettings) -> WsgiApplication:
-    """Return the application of a stand-in; raises BAD_REQUEST for an unknown kind."""
-    maker = _MAKERS.get(kind)
-    if maker is None:
-        known = ", ".join(_MAKERS)
+    """Return the WSGI application of a stand-in; raises BAD_REQUEST for an unknown kind."""
+    factory = _FACTORIES.get(kind)
+    if factory is None:
+        known = ", ".join(_FACTORIES)
         raise AspengateError(ErrorKind.BAD_REQUEST, f"no stand-in {kind!r}; known: {known}")
-    return maker(settings)
+    return factory(settings)
--- a/src/aspengate/standins/_store.py
+++ b/src/aspengate/standins/_store.py
@@ -1,4 +1,4 @@
-"""The stand-in of the platform's key-value service."""
+"""Stand-in of the platform's key-value service."""
 
 import base64
 import json
@@ -14,11 +14,11 @@
 from aspengate.standins._faults import Faults
 
 _MAX_VALUE_BYTES = 1_000_000
-_WATCH_STEP_S = 0.2
+_WATCH_POLL_S = 0.2
 
 
 class MemoryStore:
-    """A key-value service in memory that counts its calls and can fail on demand."""
+    """An in-memory key-value store that counts its calls and supports fault injection."""
 
     def __init__(self, faults: Faults | None = None) -> None:
         self.faults = faults or Faults()
@@ -28,13 +28,18 @@
         self._changed = threading.Condition()
 
     def get(self, key: str) -> Entry | None:
-        """Return the value under ``key``, if any."""
+        """Return the entry of ``key``, or ``None`` if there is none."""
         self._enter("read")
         with self._changed:
             return self._entries.get(key)
 
     def compare_and_swap(self, key: str, revision: int, value: bytes) -> int | None:
-        """Write ``value`` if the key is still at ``revision``; return the new revision."""
+        """Write ``value`` if ``key`` is at ``revision``, which is 0 for an absent key.
+
+        Returns the new revision, or ``None`` if the key is at another revision. Raises
+        AspengateError of kind TOO_LARGE, STORE_UNAVAILABLE, or OUTCOME_UNKNOWN if the value
+        was written but its response is to be lost.
+        """
         self._enter("write")
         if len(value) > _MAX_VALUE_BYTES:
             raise AspengateError(ErrorKind.TOO_LARGE, "value above 1 MB", where=key)
@@ -47,12 +52,12 @@
             self.calls["written_bytes"] += len(value)
             self._changed.notify_all()
             written = self._revision
-        if self.faults.take_lost_answer():
+        if self.faults.consume_lost_answer():
             raise AspengateError(ErrorKind.OUTCOME_UNKNOWN, "answer lost", where=key)
         return written
 
     def watch(self, key: str, after_revision: int, timeout_ms: float) -> Entry | None:
-        """Wait for a revision of ``key`` above ``after_revision``."""
+        """Return the entry of ``key`` once it is above ``after_revision``; ``None`` on timeout."""
         self._enter("watch")
         deadline = time.monotonic() + timeout_ms / 1_000
         with self._changed:
@@ -65,7 +70,7 @@
                 remaining = deadline - time.monotonic()
                 if remaining <= 0:
                     return None
-                self._changed.wait(min(remaining, _WATCH_STEP_S))
+                self._changed.wait(min(remaining, _WATCH_POLL_S))
 
     def _enter(self, purpose: str) -> None:
         if self.faults.delay_ms:
@@ -77,22 +82,22 @@
 
 
 class StoreApplication:
-    """Serves a MemoryStore in the JSON form of etcd v3, and its faults under ``/faults``."""
+    """Serves a MemoryStore over the JSON API of etcd v3, and its faults under ``/faults``."""
 
     def __init__(self, store: MemoryStore) -> None:
         self.store = store
 
     def __call__(self, environ: WsgiEnvironment, start_response: StartResponse) -> Iterable[bytes]:
-        """Answer one call."""
+        """Respond to one request."""
         path = environ["PATH_INFO"]
         length = int(environ.get("CONTENT_LENGTH") or 0)
         body = json.loads(environ["wsgi.input"].read(length) or b"{}")
         try:
-            reply = self._answer(path, body)
+            reply = self._dispatch(path, body)
         except AspengateError as error:
             start_response("503 Service Unavailable", [("Content-Type", "application/json")])
             if error.kind is ErrorKind.OUTCOME_UNKNOWN:
-                return _broken_answer()
+                return _aborted_response()
             return [json.dumps({"error": str(error)}).encode()]
         if reply is None:
             start_response("404 Not Found", [])
@@ -100,7 +105,7 @@
         start_response("200 OK", [("Content-Type", "application/json")])
         return [json.dumps(reply).encode() + b"\n"]
 
-    def _answer(self, path: str, body: dict[str, Any]) -> dict[str, Any] | None:
+    def _dispatch(self, path: str, body: dict[str, Any]) -> dict[str, Any] | None:
         if path == "/v3/kv/range":
             return self._range(body)
         if path == "/v3/kv/txn":
@@ -148,6 +153,6 @@
     }
 
 
-def _broken_answer() -> Iterable[bytes]:
-    raise ConnectionAbortedError("answer lost on purpose")
+def _aborted_response() -> Iterable[bytes]:
+    raise ConnectionAbortedError("response dropped by an injected fault")
     yield b""
