--- a/features/steps/budget_steps.py
+++ b/features/steps/budget_steps.py
@@ -57,8 +57,8 @@
             self.world.write(steward, outcome)
 
         @rule(router=PLACES, steward=PLACES, repeats=st.integers(1, 2))
-        def hand_over(self, router, steward, repeats):
-            self.world.hand_over(router, steward, repeats)
+        def deliver_closed_blocks(self, router, steward, repeats):
+            self.world.deliver_closed_blocks(router, steward, repeats)
 
         @rule(router=PLACES)
         def retire(self, router):
@@ -77,12 +77,12 @@
             self.world.kill_steward(steward)
 
         @rule()
-        def tidy(self):
-            self.world.tidy()
+        def retire_and_settle(self):
+            self.world.retire_and_settle()
 
         @rule(router=PLACES, needed=st.sampled_from([20, 100, 180]))
-        def wake(self, router, needed):
-            self.world.wake(router, needed)
+        def lend_from_replaced(self, router, needed):
+            self.world.lend_from_replaced(router, needed)
 
         @rule()
         def recover(self):
@@ -156,7 +156,7 @@
     world.draw(0, 0, 100)
     world.dispatch(0, 40, 100)
     world.finish(0)
-    world.tidy()
+    world.retire_and_settle()
     world.kill_steward(0)
     world.recover()
 
--- a/features/steps/budget_world.py
+++ b/features/steps/budget_world.py
@@ -49,8 +49,8 @@
     records: dict = field(default_factory=dict)
     dead_ledgers: list = field(default_factory=list)
     recoveries: dict = field(default_factory=dict)
-    past: list = field(default_factory=list)
-    names: int = 0
+    replaced_stewards: list = field(default_factory=list)
+    session_count: int = 0
 
     def __post_init__(self):
         self.random = random.Random(self.seed)
@@ -69,12 +69,12 @@
         if block is not None:
             ledger.add(block, self.now_ms)
 
-    def wake(self, router, needed):
+    def lend_from_replaced(self, router, needed):
         """Let a steward that was replaced, but only paused, lend what it thinks it has."""
-        if not self.past:
+        if not self.replaced_stewards:
             return
         ledger = self.ledgers[router]
-        block = self.past[-1].draw(BUDGET, ledger.session, needed, needed, self.now_ms)
+        block = self.replaced_stewards[-1].draw(BUDGET, ledger.session, needed, needed, self.now_ms)
         if block is not None:
             ledger.add(block, self.now_ms)
 
@@ -139,7 +139,7 @@
         if outcome == "ok":
             holder.applied(write, self.shard, self.now_ms)
 
-    def hand_over(self, router, steward, repeats):
+    def deliver_closed_blocks(self, router, steward, repeats):
         """Send a router's final accounts to the steward that lent the blocks."""
         ledger, holder = self.ledgers[router], self.stewards[steward]
         for closed in list(ledger.closing.values()):
@@ -163,7 +163,7 @@
         old = self.stewards[steward]
         self.stewards[steward] = self._new_steward()
         self.stale.pop(steward, None)
-        self.past.append(old)
+        self.replaced_stewards.append(old)
         self.recoveries[old.session] = old
 
     def recover(self):
@@ -178,15 +178,15 @@
         for ledger in self.ledgers:
             ledger.retire_all()
         self.recover()
-        self.tidy()
+        self.retire_and_settle()
 
-    def tidy(self):
+    def retire_and_settle(self):
         """Let every router retire its blocks, and every steward settle what it is told."""
         self.stale.clear()
         for router, ledger in enumerate(self.ledgers):
             ledger.retire_all()
             for steward in range(len(self.stewards)):
-                self.hand_over(router, steward, 2)
+                self.deliver_closed_blocks(router, steward, 2)
         for steward in range(len(self.stewards)):
             self.write(steward, "ok")
 
@@ -240,12 +240,12 @@
         return [raised, *commands, back]
 
     def _new_steward(self):
-        self.names += 1
-        return ShardSteward(f"s{self.names}", "region", "", SizingPolicy(), HONOUR_MS)
+        self.session_count += 1
+        return ShardSteward(f"s{self.session_count}", "region", "", SizingPolicy(), HONOUR_MS)
 
     def _new_ledger(self):
-        self.names += 1
-        return BlockLedger(f"r{self.names}", "")
+        self.session_count += 1
+        return BlockLedger(f"r{self.session_count}", "")
 
 
 def make_dispatch(router_session="router", holder="steward", honour_until_ms=10**9, **fields):
--- a/features/steps/trace_replay.py
+++ b/features/steps/trace_replay.py
@@ -38,7 +38,7 @@
             steward.observe(self.world.shard, 0)
         self.bases = [self.world.shard, self.world.shard]
 
-    def take(self, name, holder, parameters):
+    def apply_step(self, name, holder, parameters):
         STEPS[name](self, holder, **parameters)
 
     def pay(self, holder, amount):
@@ -59,7 +59,7 @@
         steward = self.stewards[holder]
         steward.draw(BUDGET, "nobody", steward.free(BUDGET) + amount, 0, self.world.now_ms)
         self.write(holder, answered > 0)
-        steward.forget_need(BUDGET)
+        steward.clear_need(BUDGET)
 
     def give_back(self, holder, amount):
         self.stewards[holder].recall(BUDGET, amount, self.world.now_ms)
@@ -112,7 +112,7 @@
     def fence(self, holder):
         self.fences.add(self.sessions[holder])
 
-    def hear(self, holder):
+    def receive_fence(self, holder):
         self.world.gate.fence(self.sessions[holder])
 
     def restart(self, holder):
@@ -140,7 +140,7 @@
     "blocks of # are settled": Replay.settle,
     "blocks of # are sent again": Replay.send_again,
     "session # is fenced in the store": Replay.fence,
-    "the agent hears the fence of #": Replay.hear,
+    "the agent hears the fence of #": Replay.receive_fence,
     "the agent restarts, knowing #": Replay.restart,
     "the time of # lapses": Replay.lapse,
     "session # is recovered": Replay.recover,
--- a/features/steps/verification_steps.py
+++ b/features/steps/verification_steps.py
@@ -43,7 +43,7 @@
     paid = context.trace[-1].state["paid"]
     replay = Replay(paid - sum(top_ups(context.trace)))
     for step in context.trace:
-        replay.take(re.sub(r"\d", "#", step.transition), holder_of(step), step.parameters)
+        replay.apply_step(re.sub(r"\d", "#", step.transition), holder_of(step), step.parameters)
         world = replay.world
         assert world.spent <= world.limit, step
     replay.world.settle_all()
--- a/src/aspengate/budgets/__init__.py
+++ b/src/aspengate/budgets/__init__.py
@@ -8,7 +8,7 @@
 from aspengate.budgets._rates import RateEstimate
 from aspengate.budgets._recovery import RecoveredBlock, Recovery, billed_item
 from aspengate.budgets._shard import (
-    ITEMS_A_PAGE,
+    ITEMS_PER_PAGE,
     Account,
     ArchiveItems,
     BilledItem,
@@ -32,7 +32,7 @@
 from aspengate.budgets._steward import DrawStep, PlannedWrite, ShardSteward, Shortage
 
 __all__ = [
-    "ITEMS_A_PAGE",
+    "ITEMS_PER_PAGE",
     "Account",
     "ArchiveItems",
     "BilledItem",
--- a/src/aspengate/budgets/_ledger.py
+++ b/src/aspengate/budgets/_ledger.py
@@ -111,7 +111,7 @@
             return Reservation(state.block, state.sequence, amount)
         return None
 
-    def note_agent(self, reservation: Reservation, agent: str) -> None:
+    def record_agent(self, reservation: Reservation, agent: str) -> None:
         """Remember which agent keeps the record of a reservation."""
         state = self._by_id.get(reservation.block.block_id)
         if state is not None:
--- a/src/aspengate/budgets/_rates.py
+++ b/src/aspengate/budgets/_rates.py
@@ -15,15 +15,15 @@
 
     def add(self, amount: int, now_ms: float) -> None:
         """Count ``amount`` credits spent at ``now_ms``."""
-        self._age(now_ms)
+        self._decay_to(now_ms)
         self._weighted += amount
 
     def per_second(self, now_ms: float) -> float:
         """Return the present rate, in credits a second."""
-        self._age(now_ms)
+        self._decay_to(now_ms)
         return self._weighted * self._decay_per_ms * 1_000
 
-    def _age(self, now_ms: float) -> None:
+    def _decay_to(self, now_ms: float) -> None:
         elapsed = max(0.0, now_ms - self._updated_ms)
         self._weighted *= math.exp(-elapsed * self._decay_per_ms)
         self._updated_ms = max(self._updated_ms, now_ms)
--- a/src/aspengate/budgets/_shard.py
+++ b/src/aspengate/budgets/_shard.py
@@ -207,7 +207,7 @@
     changed_ms: int
 
 
-ITEMS_A_PAGE = 500
+ITEMS_PER_PAGE = 500
 _CHANGES_KEPT = 200
 
 
--- a/src/aspengate/budgets/_steward.py
+++ b/src/aspengate/budgets/_steward.py
@@ -25,9 +25,9 @@
 _ACTIVE_ROUTER_MS = 60_000.0
 _RATE_HALF_LIFE_MS = 120_000.0
 _REFRESH_MS = 1_000.0
-_RECALL_PAUSE_MS = 2_000.0
-_RECALL_ANSWER_MS = 400.0
-_LONGEST_RECALL_PAUSE_MS = 64_000.0
+_MIN_RECALL_INTERVAL_MS = 2_000.0
+_RECALL_TIMEOUT_MS = 400.0
+_MAX_RECALL_INTERVAL_MS = 64_000.0
 
 
 class DrawStep(enum.Enum):
@@ -55,8 +55,8 @@
     lent: int = 0
     needed: int = 0
     recalled: int = 0
-    asked_others_ms: float = -math.inf
-    recall_pause_ms: float = _RECALL_PAUSE_MS
+    last_recall_ms: float = -math.inf
+    recall_interval_ms: float = _MIN_RECALL_INTERVAL_MS
     rate: RateEstimate = field(default_factory=lambda: RateEstimate(_RATE_HALF_LIFE_MS))
     routers: dict[str, float] = field(default_factory=dict)
 
@@ -170,8 +170,8 @@
             return None
         routers = holding.active_routers(now_ms)
         holding.needed = 0
-        holding.recall_pause_ms = _RECALL_PAUSE_MS
-        holding.asked_others_ms = -math.inf
+        holding.recall_interval_ms = _MIN_RECALL_INTERVAL_MS
+        holding.last_recall_ms = -math.inf
         amount = self.policy.block(needed=needed, wanted=wanted, free=holding.free, routers=routers)
         holding.lent += amount
         number = self._numbers.get(router_session, 0) + 1
@@ -197,19 +197,19 @@
             return DrawStep.WRITE
         if now_ms - self.observed_ms >= _REFRESH_MS:
             return DrawStep.READ
-        if known is None or self._elsewhere(budget) < lacking:
+        if known is None or self._recoverable(budget) < lacking:
             return DrawStep.REFUSE
-        asked_since = now_ms - holding.asked_others_ms
-        if asked_since < _RECALL_ANSWER_MS:
+        since_recall_ms = now_ms - holding.last_recall_ms
+        if since_recall_ms < _RECALL_TIMEOUT_MS:
             return DrawStep.WAIT
-        if ahead or asked_since < holding.recall_pause_ms:
+        if ahead or since_recall_ms < holding.recall_interval_ms:
             return DrawStep.REFUSE
-        holding.asked_others_ms = now_ms
-        holding.recall_pause_ms = min(_LONGEST_RECALL_PAUSE_MS, 2 * holding.recall_pause_ms)
+        holding.last_recall_ms = now_ms
+        holding.recall_interval_ms = min(_MAX_RECALL_INTERVAL_MS, 2 * holding.recall_interval_ms)
         self.observed_ms = -math.inf
         return DrawStep.RECALL
 
-    def _elsewhere(self, budget: str) -> int:
+    def _recoverable(self, budget: str) -> int:
         """Return what might come back: unspent money of others, and our open blocks."""
         known = self.shard.budgets[budget]
         others = sum(
@@ -224,7 +224,7 @@
         known = self.shard.budgets.get(budget)
         if known is None:
             return Shortage(ErrorKind.NOT_FOUND)
-        enough = self._elsewhere(budget) + self.free(budget) >= needed
+        enough = self._recoverable(budget) + self.free(budget) >= needed
         return Shortage(ErrorKind.BUDGET_UNAVAILABLE if enough else ErrorKind.BUDGET_EXHAUSTED)
 
     def other_holders(self, budget: str) -> dict[str, str]:
@@ -239,7 +239,7 @@
             and account.held > account.spent
         }
 
-    def forget_need(self, budget: str) -> None:
+    def clear_need(self, budget: str) -> None:
         """Note that no caller waits for this budget any more."""
         self._holding(budget).needed = 0
 
--- a/src/aspengate/experiments/_designs.py
+++ b/src/aspengate/experiments/_designs.py
@@ -315,7 +315,7 @@
         self._count(DrawRequest(0, "", ledger.session, budget, needed, wanted))
         block = self._lend(budget, region, ledger.session, needed, wanted, now_ms, ahead=ahead)
         if block is None:
-            self.stewards[region].forget_need(budget)
+            self.stewards[region].clear_need(budget)
             return False
         self._count(DrawReply(0, budget, block.block_id, block.holder, block.amount))
         ledger.add(block, now_ms)
--- a/src/aspengate/router/_items.py
+++ b/src/aspengate/router/_items.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from aspengate.adapters import Store, StoreDocument
-from aspengate.budgets import ITEMS_A_PAGE, ArchiveItems, BilledItem, Shard, apply_commands
+from aspengate.budgets import ITEMS_PER_PAGE, ArchiveItems, BilledItem, Shard, apply_commands
 
 
 class ItemPage(msgspec.Struct, frozen=True):
@@ -33,12 +33,12 @@
     the same; breaking off after the page leaves the items in both places, and the next call ends
     it. Raises AspengateError where the store does not answer.
     """
-    if len(shard.items) < ITEMS_A_PAGE:
+    if len(shard.items) < ITEMS_PER_PAGE:
         return False
-    page, items = shard.item_pages, shard.items[:ITEMS_A_PAGE]
+    page, items = shard.item_pages, shard.items[:ITEMS_PER_PAGE]
     page_document(store, number, page).update("page", lambda _: ItemPage(items))
     operation_id = uuid.uuid4().hex
-    command = ArchiveItems(page, ITEMS_A_PAGE)
+    command = ArchiveItems(page, ITEMS_PER_PAGE)
     document.update(operation_id, lambda now: apply_commands(now, operation_id, [command]))
     return True
 
--- a/src/aspengate/router/_money.py
+++ b/src/aspengate/router/_money.py
@@ -94,7 +94,7 @@
     def note_agent(self, reservation: Reservation, agent: str) -> None:
         """Remember which agent keeps the record of a reservation."""
         with self._lock:
-            self.ledger.note_agent(reservation, agent)
+            self.ledger.record_agent(reservation, agent)
 
     def tick(self) -> None:
         """Retire old blocks and send final accounts that are not acknowledged."""
--- a/src/aspengate/router/_stewards.py
+++ b/src/aspengate/router/_stewards.py
@@ -369,7 +369,7 @@
 
     def _refuse(self, state: _ShardState, request: DrawRequest, kind: ErrorKind) -> DrawReply:
         with state.lock:
-            state.steward.forget_need(request.budget)
+            state.steward.clear_need(request.budget)
         self.counters.count(f"steward.refused.{kind.value}")
         return DrawReply(call=request.call, budget=request.budget, refusal=kind.value)
 
