--- a/features/steps/budget_steps.py
+++ b/features/steps/budget_steps.py
@@ -107,24 +107,24 @@
     )
 
 
-@given("routers, stewards, agents and a store that lose answers, pause and die")
+@given("routers, stewards, agents and a store that lose replies, pause and crash")
 def a_world(context):
     context.machine = make_machine()
 
 
-@when("any events come in any order")
+@when("any events occur in any order")
 def any_events(context):
-    """The events come in the next steps, which also check the properties."""
+    """The next steps generate the events and check the properties."""
 
 
-@then("true spending never exceeds the limit")
+@then("actual spending never exceeds the limit")
 def never_overspent(context):
     check(context.machine, examples=400)
 
 
-@then("what is settled in the end is what was spent")
+@then("the amount settled in the end equals the amount spent")
 def settled(context):
-    """Checked at the end of every run of the machine, see its teardown."""
+    """The teardown of the machine checks this at the end of every run."""
     check(make_machine(), examples=100, steps=100)
 
 
@@ -138,8 +138,8 @@
     world.draw(1, 1, 180)
 
 
-def router_not_told(world):
-    """A steward dies; its money goes back while a router still holds a block of it."""
+def router_not_fenced(world):
+    """A steward dies and its money is returned while a router still holds a block of it."""
     world.draw(0, 0, 180)
     world.kill_steward(0)
     world.recover()
@@ -147,7 +147,7 @@
 
 
 def cost_above_reservation(world):
-    """Requests cost more than was set aside for them."""
+    """Requests cost more than was reserved for them."""
     world.draw(0, 0, 180)
 
 
@@ -163,14 +163,14 @@
 
 SEQUENCES = {
     "limit checked in one write": stale_write,
-    "fence before recovery": router_not_told,
+    "fence before recovery": router_not_fenced,
     "upper bound reserved": cost_above_reservation,
     "settled blocks skipped": settled_before_death,
 }
 
 
-def breaks(world, sequence):
-    """Run a sequence, then spend all that can be spent; return what broke, if anything."""
+def find_violation(world, sequence):
+    """Run a sequence, then spend all that can be spent; return the violation, if any."""
     try:
         sequence(world)
         for router in PLACE_NUMBERS:
@@ -185,13 +185,13 @@
     return None
 
 
-@when('events come that the rule "{name}" protects from')
+@when('events occur that the rule "{name}" protects against')
 def events_of(context, name):
-    context.with_rule = breaks(World(), SEQUENCES[name])
-    context.without_rule = breaks(World(rules_off=frozenset({name})), SEQUENCES[name])
+    context.with_rule = find_violation(World(), SEQUENCES[name])
+    context.without_rule = find_violation(World(rules_off=frozenset({name})), SEQUENCES[name])
 
 
-@then("nothing breaks with the rule, and something does without it")
+@then("the invariants hold with the rule and are violated without it")
 def needed(context):
     assert context.with_rule is None, context.with_rule
     assert context.without_rule is not None
@@ -215,8 +215,8 @@
     assert steward.free(BUDGET) >= 100
 
 
-@when("its tenure is fenced, recovered and closed, and it wakes and lends again")
-def wakes(context):
+@when("its tenure is fenced, recovered and closed, and it resumes and lends again")
+def resumes(context):
     context.gate = DispatchGate()
     context.gate.fence("old")
     context.shard = apply_commands(context.shard, "recovered", [CloseSession("old")])
@@ -224,13 +224,13 @@
     assert context.block is not None
 
 
-@then("agents refuse to start work under its money")
+@then("agents refuse to start requests paid by its money")
 def refused(context):
     dispatch = make_dispatch(holder="old", honour_until_ms=context.block.honour_until_ms)
     assert context.gate.check(dispatch, 10, 0).kind is ErrorKind.FENCED
 
 
-@then("its next write finds that its tenure is closed")
+@then("its next write is rejected because its tenure is closed")
 def closed(context):
     assert context.steward.session not in context.shard.sessions
     report = context.steward.plan(20).commands[1:]
@@ -258,7 +258,7 @@
     assert context.shard.budgets[BUDGET].committed == 60
 
 
-@given("a budget of {limit:d} in a store that loses the next answer")
+@given("a budget of {limit:d} in a store that loses the next reply")
 def losing_store(context, limit):
     context.store = MemoryStore()
     context.editor = TableEditor(context.store, ManualClock(), 1)
@@ -277,7 +277,7 @@
     set_limit(context, limit, "operator")
 
 
-@then("the limit is {limit:d} and the history has one such change")
+@then("the limit is {limit:d} and the history has one change to it")
 def one_change(context, limit):
     (shard,) = context.editor.shards()
     assert shard.budgets[BUDGET].limit == limit
@@ -361,15 +361,18 @@
     assert {result.overspend for result in context.results.values()} == {0}
 
 
-@then("ours falsely refuses at most a fifth of what a static split does when a region is cut")
-def fifth(context):
-    ours = context.results["region_cut", "escrow"].false_refusals
+@then(
+    "escrow falsely refuses at most a fifth as many requests as a static split "
+    "when a region is partitioned"
+)
+def at_most_a_fifth(context):
+    escrow = context.results["region_cut", "escrow"].false_refusals
     split = context.results["region_cut", "static_split"].false_refusals
     assert split > 0
-    assert ours * 5 <= split, (ours, split)
+    assert escrow * 5 <= split, (escrow, split)
 
 
-@given("a shard of an itemised service in a store that fails now and then")
+@given("a shard of an itemised service in a store that sometimes loses replies")
 def itemised(context):
     context.store = MemoryStore()
     context.editor = TableEditor(context.store, ManualClock(), 1)
@@ -414,7 +417,7 @@
     assert shard.item_pages == 2
 
 
-@given("a dead router that had borrowed from two stewards")
+@given("a dead router that had blocks from two stewards")
 def borrowed_from_two(context):
     itemised(context)
     context.editor.change((RowChange(None, BudgetRow(name="other", limit=10**6)),), "operator")
@@ -430,7 +433,7 @@
     context.recovery.add(FenceAck(0, "agent", "dead@x", records))
 
 
-@when("one of the two settles what it had lent")
+@when("one of the two settles the blocks that it had lent")
 def one_settles(context):
     context.sent = []
     peer = SimpleNamespace(
@@ -457,7 +460,7 @@
     service._settle(context.recovery, TableView())
 
 
-@then("agents are told to forget its blocks and not the other's")
+@then("agents are told to delete the records of its blocks and not of the other's")
 def told(context):
     own = next(iter(context.blocks))
     assert [message.block_ids for message in context.sent] == [(own,)], context.sent
--- a/features/steps/budget_world.py
+++ b/features/steps/budget_world.py
@@ -1,4 +1,4 @@
-"""A small world around the budget modules: a store, agents, and messages in any order."""
+"""Simulates the environment of the budget modules: a store, an agent, messages in any order."""
 
 import random
 from dataclasses import dataclass, field
@@ -25,7 +25,7 @@
 
 @dataclass
 class Running:
-    """A request that an agent has started; the router may be dead by its end."""
+    """Holds a request that an agent has started; its router may die before it ends."""
 
     reservation: object
     ledger: BlockLedger
@@ -34,7 +34,7 @@
 
 @dataclass
 class World:
-    """Two stewards, two routers, one agent, one store document."""
+    """Simulates two stewards, two routers, one agent and one store document."""
 
     seed: int = 0
     now_ms: int = 1_000
@@ -70,7 +70,7 @@
             ledger.add(block, self.now_ms)
 
     def lend_from_replaced(self, router, needed):
-        """Let a steward that was replaced, but only paused, lend what it thinks it has."""
+        """Let a replaced steward that was only paused lend from its outdated account."""
         if not self.replaced_stewards:
             return
         ledger = self.ledgers[router]
@@ -79,7 +79,7 @@
             ledger.add(block, self.now_ms)
 
     def dispatch(self, router, bound, share):
-        """Reserve, send, and let the agent start the request if its gate lets it."""
+        """Reserve and send a request; the agent starts it if its gate admits it."""
         ledger = self.ledgers[router]
         if "upper bound reserved" in self.rules_off:
             reservation = ledger.reserve(BUDGET, 1, self.now_ms)
@@ -120,7 +120,10 @@
         each.ledger.settle(each.reservation, "account|service", each.cost, self.now_ms)
 
     def write(self, steward, outcome):
-        """Let a steward write; the answer may be lost, or the write may be on an old document."""
+        """Let a steward write.
+
+        The reply may be lost, or the write may be based on an outdated document.
+        """
         holder = self.stewards[steward]
         base = self.stale.pop(steward, self.shard)
         if holder.honour_until_ms and holder.session not in self.shard.sessions:
@@ -140,7 +143,7 @@
             holder.applied(write, self.shard, self.now_ms)
 
     def deliver_closed_blocks(self, router, steward, repeats):
-        """Send a router's final accounts to the steward that lent the blocks."""
+        """Deliver a router's final accounts to the steward that lent the blocks."""
         ledger, holder = self.ledgers[router], self.stewards[steward]
         for closed in list(ledger.closing.values()):
             if closed.holder == holder.session:
@@ -159,7 +162,7 @@
         self.ledgers[router] = self._new_ledger()
 
     def kill_steward(self, steward):
-        """Replace a steward; the old one may only be paused, and its money is recovered."""
+        """Replace a steward, whose money is to be recovered; the old one may only be paused."""
         old = self.stewards[steward]
         self.stewards[steward] = self._new_steward()
         self.stale.pop(steward, None)
@@ -172,7 +175,7 @@
             self._recover_session(session)
 
     def settle_all(self):
-        """End everything in good order."""
+        """End all requests, then recover every dead session and settle every block."""
         while self.running:
             self.finish(0)
         for ledger in self.ledgers:
@@ -181,7 +184,7 @@
         self.retire_and_settle()
 
     def retire_and_settle(self):
-        """Let every router retire its blocks, and every steward settle what it is told."""
+        """Let every router retire its blocks, and every steward settle the closed ones."""
         self.stale.clear()
         for router, ledger in enumerate(self.ledgers):
             ledger.retire_all()
@@ -249,7 +252,7 @@
 
 
 def make_dispatch(router_session="router", holder="steward", honour_until_ms=10**9, **fields):
-    """Return a dispatch whose fields are unremarkable but for those named."""
+    """Return a dispatch with default values for all fields but those given."""
     values = {
         "stream": 1,
         "router_session": router_session,
--- a/features/steps/trace_replay.py
+++ b/features/steps/trace_replay.py
@@ -1,6 +1,6 @@
-"""Leads the real budget modules through the steps of a specification's trace.
+"""Replays the steps of a specification's trace on the real budget modules.
 
-The world counts a request's whole upper bound as spent from its start until its end is known.
+From the start of a request until its end is known, its whole upper bound counts as spent.
 """
 
 from aspengate.agent import DispatchGate
@@ -9,7 +9,7 @@
 
 
 class ExactSizing(SizingPolicy):
-    """Moves just what is asked for, as the specification does."""
+    """Grants, lends and returns exactly the requested amount, as the specification does."""
 
     def grant(self, *, needed, free, rate, unallocated, holders):
         return max(0, needed - free) if needed - free <= unallocated else 0
@@ -25,7 +25,7 @@
 
 
 class Replay:
-    """Takes one step of the specification after the other; what the code refuses is skipped."""
+    """Applies the steps of the specification in order; a step that the code refuses is skipped."""
 
     def __init__(self, limit):
         self.world = World(limit=limit)
@@ -45,7 +45,7 @@
         self.paid_more = amount
 
     def raise_limit(self, holder, answer_lost):
-        """The repeat after a lost answer finds its operation id and does nothing more."""
+        """Raise the limit; a retry after a lost reply finds its operation id and is skipped."""
         if not self.world.shard.has_applied("top-up"):
             self.world.limit += self.paid_more
             command = SetLimit(BUDGET, self.world.limit, "operator", 0)
@@ -116,7 +116,7 @@
         self.world.gate.fence(self.sessions[holder])
 
     def restart(self, holder):
-        """A fresh agent reads the fences that stand in the store."""
+        """Replace the agent by a new one, which reads the fences from the store."""
         self.world.gate = DispatchGate(fenced=set(self.fences))
 
     def lapse(self, holder):
--- a/src/aspengate/budgets/__init__.py
+++ b/src/aspengate/budgets/__init__.py
@@ -1,6 +1,8 @@
-"""Prepaid budgets: escrow from the store to a region's steward to the routers' blocks.
+"""Prepaid budgets, held in escrow at three levels: the store, a region's steward and a router.
 
-The modules here decide and hold state; they send nothing, and take the time as a parameter.
+The store grants money to the steward of a shard, and the steward lends it to routers in blocks.
+The modules of this package decide and hold state only: they send nothing, and the caller passes
+the current time.
 """
 
 from aspengate.budgets._codec import decode_shard, encode_shard
--- a/src/aspengate/budgets/_codec.py
+++ b/src/aspengate/budgets/_codec.py
@@ -1,4 +1,7 @@
-"""The stored form of a budget shard: every name once, and numbers in its place."""
+"""Encodes and decodes the stored form of a budget shard.
+
+Each name is stored once, in a table; other fields refer to it by its index.
+"""
 
 import msgspec
 
@@ -49,7 +52,7 @@
 
 
 class _Names:
-    """Gives each name a number, in the order in which the names come."""
+    """Assigns indexes to names, in the order of their first use."""
 
     def __init__(self) -> None:
         self.numbers: dict[str, int] = {}
@@ -66,7 +69,7 @@
 
 
 def encode_shard(shard: Shard) -> bytes:
-    """Return the bytes that the store keeps for a shard."""
+    """Return the stored form of a shard."""
     names = _Names()
     budgets = tuple(_store_budget(name, each, names) for name, each in shard.budgets.items())
     sessions = tuple(_store_session(name, each, names) for name, each in shard.sessions.items())
@@ -83,7 +86,10 @@
 
 
 def decode_shard(data: bytes) -> Shard:
-    """Return the shard that the store keeps; raises INTERNAL where the bytes hold none."""
+    """Return the shard that ``data`` encodes.
+
+    Raises AspengateError of kind INTERNAL if ``data`` is not a valid stored shard.
+    """
     try:
         stored = _DECODER.decode(data)
         return Shard(
--- a/src/aspengate/budgets/_ledger.py
+++ b/src/aspengate/budgets/_ledger.py
@@ -1,4 +1,4 @@
-"""A router's blocks: reservations before a run, actual costs after it."""
+"""Tracks a router's blocks: reserves an upper bound before a request, charges its cost after."""
 
 from dataclasses import dataclass, field
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class Block:
-    """Money lent to a router: it may spend ``amount`` credits until ``honour_until_ms``."""
+    """Holds money lent to a router: ``amount`` credits, to spend until ``honour_until_ms``."""
 
     block_id: str
     holder: str
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class Reservation:
-    """The upper bound of one request's cost, set aside in one block."""
+    """Holds the upper bound of one request's cost, reserved in one block."""
 
     block: Block
     sequence: int
@@ -51,11 +51,12 @@
 
 
 class BlockLedger:
-    """The blocks that one router session holds.
+    """Tracks the blocks that one router session holds.
 
-    ``reserve`` and ``settle`` send nothing and wait for nothing. A block is retired when it is
-    old, idle, recalled or fenced; once its last request is settled it is closed, and its final
-    account stays in ``closing`` until the steward says that it is in the store.
+    ``reserve`` and ``settle`` neither send nor block. A block is retired when it is old, idle,
+    recalled or fenced, and takes no more reservations. It is closed once its last request is
+    settled; its final account stays in ``closing`` until the steward confirms that the store
+    has it.
     """
 
     def __init__(
@@ -77,20 +78,20 @@
 
     @property
     def open_count(self) -> int:
-        """How many blocks are open."""
+        """The number of open blocks."""
         return len(self._by_id)
 
     def free(self, budget: str) -> int:
-        """Return what can still be reserved of a budget."""
+        """Return the credits of a budget that can still be reserved, over all its blocks."""
         return sum(state.free for state in self._blocks.get(budget, ()) if not state.retired)
 
     def rate(self, budget: str, now_ms: float) -> float:
-        """Return how fast this router spends a budget, in credits a second."""
+        """Return the rate at which this router spends a budget, in credits per second."""
         estimate = self._rates.get(budget)
         return estimate.per_second(now_ms) if estimate else 0.0
 
     def add(self, block: Block, now_ms: float) -> None:
-        """Take a block that the steward lent."""
+        """Add a block that a steward lent; an open block is not added again."""
         if block.block_id in self._by_id:
             return
         state = _OpenBlock(block, now_ms, now_ms, block.amount)
@@ -98,7 +99,7 @@
         self._blocks.setdefault(block.budget, []).append(state)
 
     def reserve(self, budget: str, amount: int, now_ms: float) -> Reservation | None:
-        """Set ``amount`` credits aside; ``None`` where no block has that much."""
+        """Reserve ``amount`` credits; return ``None`` if no usable block has that much left."""
         for state in self._blocks.get(budget, ()):
             if state.retired or state.free < amount:
                 continue
@@ -112,7 +113,7 @@
         return None
 
     def record_agent(self, reservation: Reservation, agent: str) -> None:
-        """Remember which agent keeps the record of a reservation."""
+        """Record which agent keeps the usage record of a reservation."""
         state = self._by_id.get(reservation.block.block_id)
         if state is not None:
             state.agents.add(agent)
@@ -125,10 +126,10 @@
         now_ms: float,
         item: UsageRecord | None = None,
     ) -> None:
-        """Replace a reservation by its actual cost; a second settlement changes nothing.
+        """Replace a reservation by its actual cost; settling it again has no effect.
 
-        ``line`` is ``client_account|service``. A cost above the reservation is capped, so that a
-        block is never overspent.
+        ``line`` is ``client_account|service``. A cost above the reservation is capped at it, so
+        that a block is never overspent.
         """
         state = self._by_id.get(reservation.block.block_id)
         if state is None or state.open.pop(reservation.sequence, None) is None:
@@ -144,7 +145,7 @@
         self._close_if_done(state)
 
     def release(self, reservation: Reservation, now_ms: float) -> None:
-        """Give back the reservation of a request that did not run."""
+        """Release the reservation of a request that did not run."""
         self.settle(reservation, "", 0, now_ms)
 
     def tick(self, now_ms: float) -> None:
@@ -156,20 +157,21 @@
                 self._retire(state)
 
     def retire_all(self) -> None:
-        """Retire every block; use it when the router leaves."""
+        """Retire every block, as when the router shuts down."""
         for state in list(self._by_id.values()):
             self._retire(state)
 
     def retire_holder(self, holder: str) -> None:
-        """Retire every block lent by a steward session that was fenced."""
+        """Retire every block lent by the fenced steward session ``holder``."""
         for state in list(self._by_id.values()):
             if state.block.holder == holder:
                 self._retire(state)
 
     def recall(self, budget: str) -> tuple[BlockTrimmed, ...]:
-        """Give back what is not reserved of a budget; return the trimmed blocks.
+        """Release the unreserved money of a budget; return the blocks that were trimmed.
 
-        A trimmed block takes no more requests and is closed after those that run.
+        A block without open reservations is retired. A block with some is trimmed to what they
+        and earlier costs need, takes no more reservations and is closed after the last of them.
         """
         trimmed = []
         for state in list(self._blocks.get(budget, ())):
@@ -185,16 +187,16 @@
         return tuple(trimmed)
 
     def settled(self, block_ids: tuple[str, ...]) -> dict[str, list[str]]:
-        """Forget settled blocks; return for each agent the blocks whose records it may forget."""
-        told: dict[str, list[str]] = {}
+        """Remove settled blocks; return, by agent, the blocks whose records it may delete."""
+        deletable: dict[str, list[str]] = {}
         for block_id in block_ids:
             self.closing.pop(block_id, None)
             for agent in self.agents_of_closed.pop(block_id, frozenset()):
-                told.setdefault(agent, []).append(block_id)
-        return told
+                deletable.setdefault(agent, []).append(block_id)
+        return deletable
 
     def closed_of(self, session: str) -> tuple[BlockClosed, ...]:
-        """Return the unsettled final accounts of blocks lent by ``session``."""
+        """Return the final accounts, not yet settled, of blocks lent by ``session``."""
         return tuple(closed for closed in self.closing.values() if closed.holder == session)
 
     def running_of(self, holder: str) -> tuple[RunningRequest, ...]:
--- a/src/aspengate/budgets/_rates.py
+++ b/src/aspengate/budgets/_rates.py
@@ -1,4 +1,4 @@
-"""How fast a budget is spent, estimated from its recent draws."""
+"""Estimates the rate at which a budget is spent."""
 
 import math
 
@@ -6,7 +6,7 @@
 
 
 class RateEstimate:
-    """An exponentially weighted rate, in credits a second."""
+    """Holds an exponentially weighted rate, in credits per second."""
 
     def __init__(self, half_life_ms: float = _DEFAULT_HALF_LIFE_MS) -> None:
         self._decay_per_ms = math.log(2) / half_life_ms
@@ -14,12 +14,12 @@
         self._updated_ms = 0.0
 
     def add(self, amount: int, now_ms: float) -> None:
-        """Count ``amount`` credits spent at ``now_ms``."""
+        """Add ``amount`` credits spent at ``now_ms``."""
         self._decay_to(now_ms)
         self._weighted += amount
 
     def per_second(self, now_ms: float) -> float:
-        """Return the present rate, in credits a second."""
+        """Return the rate at ``now_ms``, in credits per second."""
         self._decay_to(now_ms)
         return self._weighted * self._decay_per_ms * 1_000
 
--- a/src/aspengate/budgets/_recovery.py
+++ b/src/aspengate/budgets/_recovery.py
@@ -1,4 +1,4 @@
-"""Finding out what a dead session spent, so that its unspent money can go back."""
+"""Determines what a dead session spent, so that its unspent money returns to the budget."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class RecoveredBlock:
-    """The final account of one block of a dead session."""
+    """Holds the final account of one block of a dead session."""
 
     block_id: str
     budget: str
@@ -19,11 +19,11 @@
 
 @dataclass
 class Recovery:
-    """Collects what every process knows of a fenced session.
+    """Collects the acknowledgements of a fenced session from every participating process.
 
-    It is complete when each participant has acknowledged the fence and nothing runs under the
-    session any more, or when ``certain_ms`` has passed: by then no process would still start
-    work under the session's money, and every run that had started has ended.
+    It is complete once each participant has acknowledged the fence and reports no running
+    request of the session, or once ``certain_ms`` has passed: after that time no process starts
+    work paid by the session's money, and every request that had started has ended.
     """
 
     session: str
@@ -35,7 +35,10 @@
     closed: dict[str, BlockClosed] = field(default_factory=dict)
 
     def add(self, ack: FenceAck) -> None:
-        """Take one acknowledgement; a repeated one replaces the sender's earlier one."""
+        """Add one acknowledgement; one of another session is ignored.
+
+        A later one replaces the sender's count of running requests and adds to its records.
+        """
         if ack.session != self.session:
             return
         self.acknowledged.add(ack.sender)
@@ -46,18 +49,19 @@
             self.closed[closed.block_id] = closed
 
     def waiting_for(self) -> frozenset[str]:
-        """Return the participants that must be asked again."""
+        """Return the participants that have not acknowledged or still run requests."""
         busy = {sender for sender, count in self.running.items() if count}
         return frozenset((self.participants - self.acknowledged) | busy)
 
     def is_complete(self, now_ms: int) -> bool:
-        """Return whether the session's spending is final."""
+        """Return whether the spending of the session is final at ``now_ms``."""
         return not self.waiting_for() or now_ms >= self.certain_ms
 
     def blocks(self, itemised: Iterable[str] = ()) -> tuple[RecoveredBlock, ...]:
-        """Return the final account of every block that anyone knows of.
+        """Return the final account of every block that an acknowledgement names.
 
-        A router's final account of a block is whole and goes before the agents' single records.
+        A router's final account of a block is complete and takes precedence over the agents'
+        records of single requests. From such records, only services in ``itemised`` get items.
         """
         wanted = frozenset(itemised)
         found = {
@@ -78,7 +82,7 @@
         return tuple(found.values())
 
     def _distinct_records(self) -> list[UsageRecord]:
-        """Return one record for each request: a repeated attempt must not be billed twice."""
+        """Return the latest record of each request, so that a retry is not billed twice."""
         latest: dict[str, UsageRecord] = {}
         for record in self.records.values():
             known = latest.get(record.request_id)
--- a/src/aspengate/budgets/_shard.py
+++ b/src/aspengate/budgets/_shard.py
@@ -1,10 +1,10 @@
-"""The document of one budget shard, and the only transitions that it allows.
+"""Defines the document of one budget shard and its allowed transitions.
 
-All amounts are integer credits. For each budget the document keeps, for each steward session,
-what that session was ever granted, what it gave back and what it billed. The one rule that no
-transition may break is ``Budget.committed <= Budget.limit`` (but for a limit that an operator
-lowered below what is already granted). It holds in one value of the store, so that a region
-that is cut off, or a steward that is paused, spends only what it already holds.
+All amounts are integer credits. For each budget and steward session the document holds the
+totals that the session was granted, returned and billed. Every transition keeps the invariant
+``Budget.committed <= Budget.limit``, unless an operator lowers a limit below what is already
+granted. The whole shard is one value in the store and is checked in one write, so a region that
+is partitioned, or a steward that is paused, spends only what it already holds.
 """
 
 import functools
@@ -19,9 +19,9 @@
 
 
 class Account(msgspec.Struct, frozen=True, array_like=True):
-    """One session's money of one budget; each figure is a running total that never falls.
+    """Holds one session's money of one budget, as running totals that never decrease.
 
-    ``bills`` maps ``client_account|service`` to what was spent.
+    ``bills`` maps ``client_account|service`` to the credits spent.
     """
 
     granted: int = 0
@@ -30,17 +30,17 @@
 
     @property
     def spent(self) -> int:
-        """What was billed from this account."""
+        """The credits billed to this account."""
         return sum(self.bills.values())
 
     @property
     def held(self) -> int:
-        """What left the store and did not come back, spent or not."""
+        """The credits granted and not returned, whether spent or not."""
         return self.granted - self.returned
 
 
 class Budget(msgspec.Struct, frozen=True, array_like=True):
-    """One prepaid budget: its limit and where its money is."""
+    """Holds one prepaid budget: its limit and the accounts of the sessions that hold its money."""
 
     limit: int
     closed_bills: dict[str, int] = {}
@@ -50,23 +50,23 @@
 
     @property
     def committed(self) -> int:
-        """What is spent or may still be spent by a holder."""
+        """The credits that are spent or that a holder may still spend."""
         held = sum(account.held for account in self.accounts.values())
         return sum(self.closed_bills.values()) + held
 
     @property
     def unallocated(self) -> int:
-        """What can still be granted; negative after a limit was lowered below the grants."""
+        """The credits that can still be granted; negative if the limit was lowered below them."""
         return self.limit - self.committed
 
     @property
     def spent(self) -> int:
-        """What is billed in the store so far."""
+        """The credits billed so far."""
         return sum(self.bills.values())
 
     @property
     def bills(self) -> dict[str, int]:
-        """Everything billed in the store so far, by ``client_account|service``."""
+        """The credits billed so far, by ``client_account|service``."""
         totals = dict(self.closed_bills)
         for account in self.accounts.values():
             _add_bills(totals, account.bills)
@@ -74,10 +74,7 @@
 
 
 class ClosedBlocks(msgspec.Struct, frozen=True, array_like=True):
-    """The numbers of the blocks of one router that are settled.
-
-    All up to ``floor``, and those in ``beyond``.
-    """
+    """Holds the numbers of one router's settled blocks: 1 to ``floor``, and ``beyond``."""
 
     floor: int = 0
     beyond: tuple[int, ...] = ()
@@ -87,7 +84,7 @@
         return number <= self.floor or number in self.beyond
 
     def add(self, numbers: Iterable[int]) -> "ClosedBlocks":
-        """Return the set with ``numbers`` in it."""
+        """Return a copy that also contains ``numbers``."""
         pending = {*self.beyond, *(number for number in numbers if number > self.floor)}
         floor = self.floor
         while floor + 1 in pending:
@@ -97,7 +94,7 @@
 
 
 class Session(msgspec.Struct, frozen=True, array_like=True):
-    """A steward's tenure: nothing may start under its money after ``honour_until_ms``.
+    """Holds a steward's tenure; no request paid by it may start after ``honour_until_ms``.
 
     ``settled`` maps a router's session to the numbers of its settled blocks.
     """
@@ -109,7 +106,7 @@
 
 
 class BilledItem(msgspec.Struct, frozen=True, array_like=True):
-    """One line of an invoice, for a service whose calls are itemised."""
+    """Holds one line of an invoice, for a service whose calls are itemised."""
 
     request_id: str
     budget: str
@@ -120,7 +117,7 @@
 
 
 class LimitChange(msgspec.Struct, frozen=True, array_like=True):
-    """One entry of the audit trail of a shard's limits."""
+    """Holds one entry of the audit trail of a shard's limits."""
 
     budget: str
     actor: str
@@ -130,7 +127,7 @@
 
 
 class Shard(msgspec.Struct, frozen=True, array_like=True):
-    """The value of one budget shard in the store."""
+    """Holds the value of one budget shard in the store."""
 
     budgets: dict[str, Budget] = {}
     sessions: dict[str, Session] = {}
@@ -140,16 +137,16 @@
     item_pages: int = 0
 
     def has_applied(self, operation_id: str) -> bool:
-        """Return whether the write with this id is among the latest that took effect."""
+        """Return whether the write with this id is among the most recent ones applied."""
         return operation_id in self.operations
 
 
 class Command(msgspec.Struct, frozen=True):
-    """The base of every transition of a shard."""
+    """Base class of the transitions of a shard."""
 
 
 class OpenSession(Command, frozen=True):
-    """A steward begins or extends its tenure."""
+    """Starts or extends a steward's tenure."""
 
     holder: str
     region: str
@@ -158,7 +155,7 @@
 
 
 class Report(Command, frozen=True):
-    """A steward's running totals of one budget; higher ones replace lower ones."""
+    """Reports a steward's running totals of one budget; each is raised, never lowered."""
 
     holder: str
     budget: str
@@ -167,7 +164,7 @@
 
 
 class SettleBlocks(Command, frozen=True):
-    """The bills of closed blocks; a block that is settled already changes nothing.
+    """Bills closed blocks; a block that is already settled is skipped.
 
     ``blocks`` maps block ids to (budget, bills).
     """
@@ -178,20 +175,23 @@
 
 
 class CloseSession(Command, frozen=True):
-    """No money of this session can be spent any more: the unspent rest goes back."""
+    """Ends a tenure and returns its unspent money to the budgets.
+
+    Valid only if none of the session's money can be spent any more.
+    """
 
     holder: str
 
 
 class ArchiveItems(Command, frozen=True):
-    """The oldest items stand in page ``page`` of the archive and leave the shard."""
+    """Removes the ``count`` oldest items, which page ``page`` of the archive now holds."""
 
     page: int
     count: int
 
 
 class SetLimit(Command, frozen=True):
-    """An operator creates a budget or sets its limit."""
+    """Creates a budget or sets its limit, for an operator."""
 
     budget: str
     limit: int
@@ -200,7 +200,7 @@
 
 
 class DropBudget(Command, frozen=True):
-    """An operator removes a budget: nothing more is granted, the rest drains."""
+    """Removes a budget, for an operator: nothing more is granted, and granted money drains."""
 
     budget: str
     actor: str
@@ -217,15 +217,15 @@
 
 
 def block_number(block_id: str) -> tuple[str, int]:
-    """Return the router session and the number that a block id carries."""
+    """Return the router session and the block number that a block id contains."""
     _, router_session, number = block_id.split("#")
     return router_session, int(number)
 
 
 def apply_commands(shard: Shard, operation_id: str, commands: Iterable[Command]) -> Shard:
-    """Return the shard after all commands, marked with the id of the write.
+    """Return the shard after all commands, with ``operation_id`` among its recent operations.
 
-    Raises AspengateError of kind CONFLICT where one of them would break a rule; then none is
+    Raises AspengateError of kind CONFLICT if a command would break an invariant; then none is
     applied.
     """
     for command in commands:
@@ -261,9 +261,9 @@
     granted = max(before.granted, command.granted)
     returned = max(before.returned, command.returned)
     account = Account(granted, returned, before.bills)
-    _require(account.held >= account.spent, "more returned than was left")
+    _require(account.held >= account.spent, "returned amount exceeds the unspent amount")
     extra = granted - before.granted
-    _require(extra == 0 or extra <= budget.unallocated, "grant above the budget's limit")
+    _require(extra == 0 or extra <= budget.unallocated, "grant exceeds the budget's limit")
     return _with_account(shard, command.budget, command.holder, account)
 
 
@@ -338,11 +338,13 @@
     known = shard.budgets.get(budget)
     account = known.accounts.get(holder) if known else None
     if account is None:
-        raise AspengateError(ErrorKind.CONFLICT, f"session {holder} holds nothing of {budget}")
+        raise AspengateError(
+            ErrorKind.CONFLICT, f"session {holder} has no account in budget {budget}"
+        )
     totals = dict(account.bills)
     _add_bills(totals, bills)
     changed = msgspec.structs.replace(account, bills=totals)
-    _require(changed.spent <= changed.held, f"block of {budget} billed above what was granted")
+    _require(changed.spent <= changed.held, f"bills of budget {budget} exceed the amount held")
     return _with_account(shard, budget, holder, changed)
 
 
@@ -381,5 +383,5 @@
 
 
 def owner_key(region: str, shard: int) -> str:
-    """Return the name under which a region's routers rank themselves as a shard's steward."""
+    """Return the key by which a region's routers are ranked to choose a shard's steward."""
     return f"budgets/{region}/{shard}"
--- a/src/aspengate/budgets/_sizing.py
+++ b/src/aspengate/budgets/_sizing.py
@@ -1,18 +1,19 @@
-"""How much money moves at once from the store to a steward and from a steward to a router."""
+"""Sizes the grants from the store to a steward and the blocks from a steward to a router."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class SizingPolicy:
-    """Sizes of grants and blocks.
-
-    A grant covers ``grant_horizon_ms`` of the demand seen, a block ``block_horizon_ms``. Of
-    what is left, one holder takes at most ``1 / (share_divisor * holders)`` at a time, so that
-    sizes shrink as a budget nears its end, and at least ``1 / (floor_divisor * holders)``, so
-    that a budget whose demand is not known yet does not cost a write for each request. What a
-    waiting request needs is always given where it is there. ``recall_keep_ms`` of demand is
-    kept back when another holder asks for money.
+    """Decides the sizes of grants and blocks.
+
+    A grant covers ``grant_horizon_ms`` of the measured demand, a block ``block_horizon_ms``.
+    Each is at most ``1 / (share_divisor * holders)`` of the remaining money, so that sizes
+    shrink as a budget nears exhaustion, and at least ``1 / (floor_divisor * holders)``, so that
+    a budget without measured demand does not need a write per request; the holders of blocks
+    are the active routers. A waiting request gets what it needs if that much is available,
+    whatever these bounds are. A holder whose money is recalled for another keeps
+    ``recall_keep_ms`` of its demand.
     """
 
     grant_horizon_ms: float = 1_800_000.0
@@ -23,7 +24,7 @@
     refill_fraction: float = 0.67
 
     def grant(self, *, needed: int, free: int, rate: float, unallocated: int, holders: int) -> int:
-        """Return how much to add to a holder that has ``free`` credits and spends ``rate``/s."""
+        """Return the grant for a holder with ``free`` credits that spends ``rate`` per second."""
         shortfall = max(0, needed - free)
         if shortfall > unallocated:
             return 0
@@ -36,7 +37,7 @@
         return min(left, max(shortfall, floor, min(target - free, share)))
 
     def block(self, *, needed: int, wanted: int, free: int, routers: int) -> int:
-        """Return the size of a block for one of ``routers``; 0 where there is too little."""
+        """Return the size of a block for one of ``routers``; 0 if ``needed`` exceeds ``free``."""
         if needed > free:
             return 0
         share = free // (self.share_divisor * max(1, routers))
@@ -44,16 +45,17 @@
         return min(free, max(needed, floor, min(wanted, share)))
 
     def surplus(self, *, free: int, rate: float, unallocated: int, holders: int) -> int:
-        """Return what a holder gives back when nobody asks for it.
+        """Return what a holder returns without a recall.
 
-        The size of a first grant is kept, so that money does not go back and forth.
+        It keeps twice its target and the size of a first grant, so that money does not go back
+        and forth.
         """
         kept = max(0, unallocated) // (self.floor_divisor * max(1, holders))
         target = int(rate * self.grant_horizon_ms / 1_000)
         return max(0, free - 2 * target - kept)
 
     def spare(self, *, free: int, rate: float, needed: int) -> int:
-        """Return what a holder gives back to one that needs ``needed`` credits."""
+        """Return what a holder returns when another holder needs ``needed`` credits."""
         kept = int(rate * self.recall_keep_ms / 1_000)
         offered = max(0, free - kept)
         return min(free, max(offered, min(needed, free // 2)))
--- a/src/aspengate/budgets/_steward.py
+++ b/src/aspengate/budgets/_steward.py
@@ -1,4 +1,4 @@
-"""A steward's tenure over one budget shard in one region."""
+"""Manages the money that a steward holds of one budget shard in one region."""
 
 import enum
 import math
@@ -31,7 +31,7 @@
 
 
 class DrawStep(enum.Enum):
-    """What a steward has to do next for a draw that it can't meet from what it holds."""
+    """Names the next step of a steward for a draw that exceeds what it holds."""
 
     READ = "read"
     WRITE = "write"
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True)
 class Shortage:
-    """A block can't be had now; ``kind`` is what the caller is told."""
+    """Reports that no block is available now; ``kind`` is the error returned to the caller."""
 
     kind: ErrorKind
 
@@ -82,7 +82,10 @@
 
 @dataclass(frozen=True)
 class PlannedWrite:
-    """One write to the store that a steward wants; repeat it under the same id until known."""
+    """Describes one write of a steward to the store.
+
+    Retry it under the same ``operation_id`` until its outcome is known.
+    """
 
     operation_id: str
     commands: tuple[Command, ...]
@@ -93,9 +96,10 @@
 class ShardSteward:
     """Holds one session's money of a shard and lends it to routers in blocks.
 
-    The money belongs to the session and not to a lease: two stewards of one region hold two
-    accounts, so a paused steward that goes on does no harm. Call ``observe`` with each version
-    of the document that was read or written, ``plan`` for the next write, ``draw`` for a block.
+    The money belongs to the session and not to a lease: two stewards of one region have two
+    accounts, so a steward that resumes after a pause can't overspend. Call ``observe`` with each
+    version of the document that was read or written, ``plan`` for the next write, and ``draw``
+    for a block.
     """
 
     def __init__(
@@ -121,27 +125,27 @@
 
     @property
     def honour_until_ms(self) -> int:
-        """The end of the tenure that the store has confirmed; 0 where it has none yet."""
+        """The end of the tenure as last observed in the store; 0 if the store has none."""
         session = self.shard.sessions.get(self.session)
         return session.honour_until_ms if session else 0
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is lent and nothing waits for a settlement."""
+        """Whether no block is open and none awaits settlement."""
         return not self.open_blocks and not self._unsettled
 
     @property
     def unsettled_count(self) -> int:
-        """How many closed blocks wait for a write."""
+        """The number of closed blocks that no write has settled yet."""
         return len(self._unsettled)
 
     @property
     def needs_write(self) -> bool:
-        """Whether a caller waits for a write."""
+        """Whether a draw or a recall awaits a write."""
         return any(holding.needed or holding.recalled for holding in self._holdings.values())
 
     def free(self, budget: str) -> int:
-        """Return how much of a budget this session could lend now."""
+        """Return the credits of a budget that this session can lend now."""
         holding = self._holdings.get(budget)
         return holding.free if holding else 0
 
@@ -151,7 +155,7 @@
         return tuple({block.router_session for block in blocks if block.budget == budget})
 
     def observe(self, shard: Shard, now_ms: float) -> None:
-        """Take over what the store has confirmed."""
+        """Adopt a version of the document that the store returned or confirmed."""
         self.shard = shard
         self.observed_ms = now_ms
         for name, budget in shard.budgets.items():
@@ -162,7 +166,7 @@
     def draw(
         self, budget: str, router_session: str, needed: int, wanted: int, now_ms: int
     ) -> Block | None:
-        """Lend a block of at least ``needed`` credits; ``None`` where a write has to come first."""
+        """Lend a block of at least ``needed`` credits; ``None`` if that requires a write first."""
         holding = self._holding(budget)
         holding.routers[router_session] = now_ms
         if now_ms >= self.honour_until_ms or holding.free < needed:
@@ -183,12 +187,12 @@
     def next_step(
         self, budget: str, needed: int, now_ms: float, *, ahead: bool = False
     ) -> DrawStep:
-        """Return what may still help a draw of ``needed`` credits that ``draw`` did not meet.
+        """Return the next step for a draw of ``needed`` credits that ``draw`` did not meet.
 
-        The store is read at most once a second. Other holders are asked only where they hold
-        enough, at most every two seconds, and ever less often while it does not help, so that
-        callers of a budget that is spent cost no writes. While others are being asked, every
-        draw waits for their answer; one ``ahead`` of demand does not make the steward ask.
+        The store is read at most once per second. Money is recalled from other holders only if
+        they hold enough, at most every two seconds, and with a growing interval while recalls
+        don't help, so that requests to an exhausted budget cause no writes. During a recall
+        every draw waits for its result; a draw ``ahead`` of demand starts no recall.
         """
         known = self.shard.budgets.get(budget)
         holding = self._holding(budget)
@@ -210,7 +214,7 @@
         return DrawStep.RECALL
 
     def _recoverable(self, budget: str) -> int:
-        """Return what might come back: unspent money of others, and our open blocks."""
+        """Return what may become available: unallocated, held unspent by others, or lent by us."""
         known = self.shard.budgets[budget]
         others = sum(
             account.held - account.spent
@@ -220,7 +224,7 @@
         return max(0, known.unallocated) + others + self._holding(budget).lent
 
     def shortage(self, budget: str, needed: int) -> Shortage:
-        """Return why a draw of ``needed`` credits can't be met after a write."""
+        """Return why a draw of ``needed`` credits can't be met even after a write."""
         known = self.shard.budgets.get(budget)
         if known is None:
             return Shortage(ErrorKind.NOT_FOUND)
@@ -228,7 +232,7 @@
         return Shortage(ErrorKind.BUDGET_UNAVAILABLE if enough else ErrorKind.BUDGET_EXHAUSTED)
 
     def other_holders(self, budget: str) -> dict[str, str]:
-        """Return session and address of each other holder with unspent money of a budget."""
+        """Return the address of each other session that holds unspent money of a budget."""
         known = self.shard.budgets.get(budget)
         accounts: dict[str, Account] = known.accounts if known else {}
         return {
@@ -240,13 +244,13 @@
         }
 
     def clear_need(self, budget: str) -> None:
-        """Note that no caller waits for this budget any more."""
+        """Record that no caller waits for this budget any more."""
         self._holding(budget).needed = 0
 
     def recall(self, budget: str, needed: int, now_ms: float) -> bool:
-        """Note that another holder needs money of a budget; the next write returns some.
+        """Record that another holder needs money of a budget; the next write returns some.
 
-        Return whether there is anything to return, so that a write is worth its cost.
+        Return whether there is anything to return; if not, no write is needed.
         """
         holding = self._holding(budget)
         rate = holding.rate.per_second(now_ms)
@@ -256,7 +260,7 @@
         return True
 
     def trim(self, block_id: str, amount: int) -> None:
-        """Take back the part of an open block above ``amount``, as its router promised."""
+        """Reduce an open block to ``amount``, after its router has given up the remainder."""
         block = self.open_blocks.get(block_id)
         if block is None or amount >= block.amount:
             return
@@ -270,7 +274,7 @@
         items: Iterable[BilledItem],
         now_ms: int,
     ) -> None:
-        """Take the final account of a block; a repeated one changes nothing."""
+        """Record the final account of a block; a block that is not open is ignored."""
         block = self.open_blocks.pop(block_id, None)
         if block is None:
             return
@@ -283,7 +287,7 @@
         self._items.update({item.request_id: item for item in items})
 
     def plan(self, now_ms: int) -> PlannedWrite:
-        """Return the next write, made for the document that was observed last."""
+        """Return the next write, based on the document that was observed last."""
         commands: list[Command] = [
             OpenSession(self.session, self.region, self.address, now_ms + self.honour_ms)
         ]
@@ -303,7 +307,7 @@
     def plan_close(self, now_ms: int) -> PlannedWrite:
         """Return the write that settles everything and ends the tenure.
 
-        Call it only when ``idle`` but for unsettled blocks; nothing may be lent afterwards.
+        Call it only when no block is open; nothing may be lent afterwards.
         """
         write = self.plan(now_ms)
         return PlannedWrite(
@@ -314,7 +318,7 @@
         )
 
     def applied(self, write: PlannedWrite, shard: Shard, now_ms: float) -> tuple[str, ...]:
-        """Note that a write took effect; return the ids of the blocks it settled."""
+        """Record that a write took effect; return the ids of the blocks that it settled."""
         self.observe(shard, now_ms)
         for block_id in write.block_ids:
             self._unsettled.pop(block_id, None)
