--- a/features/steps/budget_world.py
+++ b/features/steps/budget_world.py
@@ -1,4 +1,4 @@
-"""A small world around the budget modules: a store, agents, and messages in any order."""
+"""Simulates the environment of the budget modules: a store, an agent, messages in any order."""
 
 import random
 from dataclasses import dataclass, field
@@ -25,7 +25,7 @@
 
 @dataclass
 class Running:
-    """A request that an agent has started; the router may be dead by its end."""
+    """Holds a request that an agent has started; its router may die before it ends."""
 
     reservation: object
     ledger: BlockLedger
@@ -34,7 +34,7 @@
 
 @dataclass
 class World:
-    """Two stewards, two routers, one agent, one store document."""
+    """Simulates two stewards, two routers, one agent and one store document."""
 
     seed: int = 0
     now_ms: int = 1_000
@@ -49,8 +49,8 @@
     records: dict = field(default_factory=dict)
     dead_ledgers: list = field(default_factory=list)
     recoveries: dict = field(default_factory=dict)
-    past: list = field(default_factory=list)
-    names: int = 0
+    replaced_stewards: list = field(default_factory=list)
+    session_count: int = 0
 
     def __post_init__(self):
         self.random = random.Random(self.seed)
@@ -69,17 +69,17 @@
         if block is not None:
             ledger.add(block, self.now_ms)
 
-    def wake(self, router, needed):
-        """Let a steward that was replaced, but only paused, lend what it thinks it has."""
-        if not self.past:
+    def lend_from_replaced(self, router, needed):
+        """Let a replaced steward that was only paused lend from its outdated account."""
+        if not self.replaced_stewards:
             return
         ledger = self.ledgers[router]
-        block = self.past[-1].draw(BUDGET, ledger.session, needed, needed, self.now_ms)
+        block = self.replaced_stewards[-1].draw(BUDGET, ledger.session, needed, needed, self.now_ms)
         if block is not None:
             ledger.add(block, self.now_ms)
 
     def dispatch(self, router, bound, share):
-        """Reserve, send, and let the agent start the request if its gate lets it."""
+        """Reserve and send a request; the agent starts it if its gate admits it."""
         ledger = self.ledgers[router]
         if "upper bound reserved" in self.rules_off:
             reservation = ledger.reserve(BUDGET, 1, self.now_ms)
@@ -120,7 +120,10 @@
         each.ledger.settle(each.reservation, "account|service", each.cost, self.now_ms)
 
     def write(self, steward, outcome):
-        """Let a steward write; the answer may be lost, or the write may be on an old document."""
+        """Let a steward write.
+
+        The reply may be lost, or the write may be based on an outdated document.
+        """
         holder = self.stewards[steward]
         base = self.stale.pop(steward, self.shard)
         if holder.honour_until_ms and holder.session not in self.shard.sessions:
@@ -139,8 +142,8 @@
         if outcome == "ok":
             holder.applied(write, self.shard, self.now_ms)
 
-    def hand_over(self, router, steward, repeats):
-        """Send a router's final accounts to the steward that lent the blocks."""
+    def deliver_closed_blocks(self, router, steward, repeats):
+        """Deliver a router's final accounts to the steward that lent the blocks."""
         ledger, holder = self.ledgers[router], self.stewards[steward]
         for closed in list(ledger.closing.values()):
             if closed.holder == holder.session:
@@ -159,11 +162,11 @@
         self.ledgers[router] = self._new_ledger()
 
     def kill_steward(self, steward):
-        """Replace a steward; the old one may only be paused, and its money is recovered."""
+        """Replace a steward, whose money is to be recovered; the old one may only be paused."""
         old = self.stewards[steward]
         self.stewards[steward] = self._new_steward()
         self.stale.pop(steward, None)
-        self.past.append(old)
+        self.replaced_stewards.append(old)
         self.recoveries[old.session] = old
 
     def recover(self):
@@ -172,21 +175,21 @@
             self._recover_session(session)
 
     def settle_all(self):
-        """End everything in good order."""
+        """End all requests, then recover every dead session and settle every block."""
         while self.running:
             self.finish(0)
         for ledger in self.ledgers:
             ledger.retire_all()
         self.recover()
-        self.tidy()
+        self.retire_and_settle()
 
-    def tidy(self):
-        """Let every router retire its blocks, and every steward settle what it is told."""
+    def retire_and_settle(self):
+        """Let every router retire its blocks, and every steward settle the closed ones."""
         self.stale.clear()
         for router, ledger in enumerate(self.ledgers):
             ledger.retire_all()
             for steward in range(len(self.stewards)):
-                self.hand_over(router, steward, 2)
+                self.deliver_closed_blocks(router, steward, 2)
         for steward in range(len(self.stewards)):
             self.write(steward, "ok")
 
@@ -240,16 +243,16 @@
         return [raised, *commands, back]
 
     def _new_steward(self):
-        self.names += 1
-        return ShardSteward(f"s{self.names}", "region", "", SizingPolicy(), HONOUR_MS)
+        self.session_count += 1
+        return ShardSteward(f"s{self.session_count}", "region", "", SizingPolicy(), HONOUR_MS)
 
     def _new_ledger(self):
-        self.names += 1
-        return BlockLedger(f"r{self.names}", "")
+        self.session_count += 1
+        return BlockLedger(f"r{self.session_count}", "")
 
 
 def make_dispatch(router_session="router", holder="steward", honour_until_ms=10**9, **fields):
-    """Return a dispatch whose fields are unremarkable but for those named."""
+    """Return a dispatch with default values for all fields but those given."""
     values = {
         "stream": 1,
         "router_session": router_session,
--- a/src/aspengate/budgets/__init__.py
+++ b/src/aspengate/budgets/__init__.py
@@ -1,6 +1,8 @@
-"""Prepaid budgets: escrow from the store to a region's steward to the routers' blocks.
+"""Prepaid budgets, held in escrow at three levels: the store, a region's steward and a router.
 
-The modules here decide and hold state; they send nothing, and take the time as a parameter.
+The store grants money to the steward of a shard, and the steward lends it to routers in blocks.
+The modules of this package decide and hold state only: they send nothing, and the caller passes
+the current time.
 """
 
 from aspengate.budgets._codec import decode_shard, encode_shard
@@ -8,7 +10,7 @@
 from aspengate.budgets._rates import RateEstimate
 from aspengate.budgets._recovery import RecoveredBlock, Recovery, billed_item
 from aspengate.budgets._shard import (
-    ITEMS_A_PAGE,
+    ITEMS_PER_PAGE,
     Account,
     ArchiveItems,
     BilledItem,
@@ -32,7 +34,7 @@
 from aspengate.budgets._steward import DrawStep, PlannedWrite, ShardSteward, Shortage
 
 __all__ = [
-    "ITEMS_A_PAGE",
+    "ITEMS_PER_PAGE",
     "Account",
     "ArchiveItems",
     "BilledItem",
