--- a/src/aspengate/platform/_client.py
+++ b/src/aspengate/platform/_client.py
@@ -104,9 +104,8 @@
 class PlatformStore:
     """Calls the store at ``address`` over HTTP, on persistent connections.
 
-    The timeout of a call adapts to recent response times and never exceeds ``timeout_ms``.
-    Methods are thread-safe. ``calls`` counts calls by kind, failed ones too, since the platform
-    charges for every call.
+    The timeout of a call adapts to recent response times, up to ``timeout_ms``. Methods are
+    thread-safe. ``calls`` counts calls by kind, also failed ones: the platform charges for each.
     """
 
     def __init__(self, address: str, timeout_ms: float, clock: Clock) -> None:
@@ -133,10 +132,8 @@
     def list_items(self, prefix: str) -> Snapshot:
         """Return the items whose keys begin with ``prefix``.
 
-        Pages are read one after the other and do not form a snapshot: the result carries the
-        revision of the first page, so that a watch from it misses no change.
-
-        Raises STORE_UNAVAILABLE if the store is restored from a copy between two pages.
+        Pages form no snapshot: the result has the first page's revision, so a watch from it misses
+        no change. Raises STORE_UNAVAILABLE if the store is restored from a copy between two pages.
         """
         query = {"pathPrefix": prefix}
         first, era = self._page(query)
@@ -176,8 +173,7 @@
     def transact(self, conditions: Mapping[str, int], puts: tuple[Put, ...]) -> int:
         """Write all ``puts`` if each key in ``conditions`` is still at its revision.
 
-        Returns the new revision; raises ConditionFailedError, OUTCOME_UNKNOWN or
-        STORE_UNAVAILABLE.
+        Returns the new revision; raises ConditionFailedError, OUTCOME_UNKNOWN or STORE_UNAVAILABLE.
         """
         return self._transact(conditions, puts, ())
 
@@ -249,10 +245,7 @@
         return _Response(response.status, content, era)
 
     def _read_era(self, response: http.client.HTTPResponse) -> int:
-        """Return the era in a response's header; 0 if it has none or an unreadable one.
-
-        A store that sends no such header has a single history.
-        """
+        """Return a response's era; 0 if unreadable or absent, as from a store with one history."""
         text = response.getheader(_ERA_HEADER, "0")
         if _ERA_PATTERN.fullmatch(text) and int(text) <= MAX_ERA:
             return int(text)
@@ -268,8 +261,7 @@
         return self._connections.idle_sockets()
 
 
-# This key never exists, so that the response is a short 404. A stale read costs a tenth of a
-# current one.
+# A key that never exists, for a short 404. A stale read costs a tenth of a current one.
 _PROBE = "/kv-key?key=aspengate%2Fprobe&stale=1"
 _ERA_HEADER = "Store-Era"
 _ERA_PATTERN = re.compile(r"[0-9]{1,19}", re.ASCII)
--- a/src/aspengate/platform/_deployment.py
+++ b/src/aspengate/platform/_deployment.py
@@ -18,10 +18,7 @@
 
 
 class PlatformDeployment:
-    """Implements the ``Deployment`` interface on a platform whose store is at ``address``.
-
-    ``timeout_ms`` is the longest timeout of a store call.
-    """
+    """Implements ``Deployment`` with the store at ``address``; ``timeout_ms`` bounds each call."""
 
     operator_prefix = OPERATOR_PREFIX
     configuration_key = CONFIGURATION_KEY
--- a/src/aspengate/platform/_headers.py
+++ b/src/aspengate/platform/_headers.py
@@ -15,13 +15,13 @@
 _KEY = "authorization"
 _KEY_SCHEME = "token "
 _TOKENS = "x-token-count"
-_PREFIX_HASH = "x-prefix-hash"
+_SEGMENTS = "x-prefix-hash"
 _LAST_EVENT = "last-event-id"
 _MODEL = "x-model"
 _LENGTH_HINT = "x-length-hint"
 _LIMIT = "server-limit"
 
-_CONNECTION_HEADERS = frozenset(
+_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -59,10 +59,7 @@
     """Implements the ``HeaderCodec`` interface with the platform's headers."""
 
     def parse_request(self, received: ReceivedRequest) -> CallerRequest:
-        """Parse a received request; raises BAD_REQUEST.
-
-        Headers that may occur only once, such as the request id, are rejected if repeated.
-        """
+        """Parse a request; raises BAD_REQUEST, also if a header like its id is repeated."""
         request_id = _single(received.headers, _REQUEST_ID)
         if not request_id:
             raise AspengateError(ErrorKind.BAD_REQUEST, "is needed", where="X-Request-Id")
@@ -114,9 +111,7 @@
 
     def response_headers(self, headers: Headers) -> Headers:
         """Return the headers of a replica's response that are passed on to the caller."""
-        return tuple(
-            (name, value) for name, value in headers if name.lower() not in _CONNECTION_HEADERS
-        )
+        return tuple((name, value) for name, value in headers if name.lower() not in _HOP_HEADERS)
 
     def matches_request(self, headers: Headers, request_id: str) -> bool:
         """Return whether a response carries this request's id, and no other one."""
@@ -139,10 +134,7 @@
         return "1" in _all(headers, "server-leaving")
 
     def rate_limit(self, headers: Headers) -> float | None:
-        """Return the replica's rate limit in a response, in requests per second.
-
-        None if it states no limit; raises BAD_REQUEST if the limit can't be parsed.
-        """
+        """Return the replica's limit in requests per second, None if absent; raises BAD_REQUEST."""
         if not _all(headers, _LIMIT):
             return None
         return parse_decimal(_single(headers, _LIMIT), _LIMIT)
@@ -169,7 +161,7 @@
 
 def _forwarded(headers: Headers) -> Headers:
     """Return the caller's headers that are forwarded to a replica unchanged."""
-    dropped = _CONNECTION_HEADERS | _SYSTEM_HEADERS | _hop_by_hop(headers)
+    dropped = _HOP_HEADERS | _SYSTEM_HEADERS | _hop_by_hop(headers)
     return tuple((name, value) for name, value in headers if name.lower() not in dropped)
 
 
@@ -212,7 +204,7 @@
 
 
 def _prompt_segments(headers: Headers) -> tuple[PromptSegment, ...]:
-    text = _single(headers, _PREFIX_HASH)
+    text = _single(headers, _SEGMENTS)
     if not text:
         return ()
     segments = []
@@ -221,9 +213,7 @@
         try:
             segments.append(PromptSegment(identity, _parse_int(tokens)))
         except ValueError:
-            raise AspengateError(
-                ErrorKind.BAD_REQUEST, f"{segment!r}", where=_PREFIX_HASH
-            ) from None
+            raise AspengateError(ErrorKind.BAD_REQUEST, f"{segment!r}", where=_SEGMENTS) from None
     return tuple(segments)
 
 
@@ -235,24 +225,12 @@
 
 
 def _hop_by_hop(headers: Headers) -> frozenset[str]:
-    """Return the hop-by-hop headers that the Connection header names.
-
-    Headers in ``_END_TO_END`` stay end-to-end even if it names them.
-    """
+    """Return the headers that Connection names as hop-by-hop, except those in ``_END_TO_END``."""
     options = ",".join(_all(headers, "connection"))
     names = frozenset(option.strip().lower() for option in options.split(","))
     return names - _END_TO_END
 
 
 _END_TO_END = frozenset(
-    {
-        _REQUEST_ID,
-        "host",
-        "content-length",
-        _MODEL,
-        _TOKENS,
-        _PREFIX_HASH,
-        _LAST_EVENT,
-        "content-type",
-    }
+    {_REQUEST_ID, "host", "content-length", _MODEL, _TOKENS, _SEGMENTS, _LAST_EVENT, "content-type"}
 )
--- a/src/aspengate/platform/_records.py
+++ b/src/aspengate/platform/_records.py
@@ -25,13 +25,11 @@
 CONFIGURATION_KEY = f"{OPERATOR_PREFIX}config"
 _EVACUATION_PREFIX = f"{OPERATOR_PREFIX}evacuate/"
 REPLICA_PREFIX = "servers/"
-# Sanity bounds on a replica's record: no machine runs more requests at once, and no replica is
-# cold for longer than an hour.
+# Sanity bounds on replicas: no machine runs more requests at once, none is cold for over an hour.
 _MAX_SLOTS = 100_000
 _MAX_COLD_MS = 3_600_000.0
 _MAX_NUMBER = 2**63 - 1
-# The largest value that the store holds.
-_MAX_CONFIGURATION_BYTES = 1024 * 1024
+_MAX_CONFIGURATION_BYTES = 1024 * 1024  # The largest value that the store holds.
 _ADDRESS_PATTERN = re.compile(r"(\d{1,3})\.(\d{1,3})\.(\d{1,3})\.(\d{1,3}):(\d{1,5})", re.ASCII)
 _MAX_OCTET = 255
 _MAX_PORT = 2**16 - 1
@@ -173,10 +171,7 @@
 
 
 def read_evacuation(item: StoreItem) -> Evacuation | None:
-    """Return the evacuation that a store item requests; None for items of other kinds.
-
-    The existence of the item is the request; its value is ignored.
-    """
+    """Return the evacuation that an item requests by existing, with any value; None for others."""
     if not item.key.startswith(_EVACUATION_PREFIX):
         return None
     return Evacuation(item.key.removeprefix(_EVACUATION_PREFIX), item.revision)
