--- a/features/allowances.feature
+++ b/features/allowances.feature
@@ -9,8 +9,8 @@
 
   Scenario: Nothing is overspent when the store is restored from copies of itself
     Given routers that spend from one account through a store that is restored from copies
-    Then no history overspends if no router dies in the lost period
-    And no history overspends if one router dies in the lost period and its witness survives
+    Then no history overspends if no router terminates in the lost period
+    And no history overspends if one router terminates in the lost period and its witness survives
     And some history overspends if nothing is written again
 
   Scenario: A restarted router does not report at once that the store contains what its previous run drew
--- a/features/claims.feature
+++ b/features/claims.feature
@@ -1,4 +1,4 @@
-Feature: A call that must not be repeated runs at most once
+Feature: A non-retryable call runs at most once
 
   Scenario: A key is granted once and a retry joins the first request
     Given the first owner of a claim shard
--- a/features/crashes.feature
+++ b/features/crashes.feature
@@ -31,7 +31,7 @@
     Then at most three of its requests reach a replica later than 2 s after the third crash
     And the requests of other callers are answered from then on
 
-  Scenario: It is stopped even if all routers are killed after the third crash
+  Scenario: A request that crashes replicas is stopped even if all routers are killed after the third crash
     Given four gateways before six replicas of each service, which are replaced after a crash
     When a receipt that crashes them is requested four times a second, and all gateways are killed after the third crash
     Then at most three of its requests reach a replica later than 2 s after the third crash
--- a/features/gateway_answers.feature
+++ b/features/gateway_answers.feature
@@ -1,6 +1,6 @@
 Feature: Callers receive only complete responses to their own requests, whatever replicas send
 
-  Scenario Outline: A broken response to a non-repeatable call results in an explicit error
+  Scenario Outline: A broken response to a non-retryable call results in an explicit error
     Given a gateway with one replica per service
     When a status is requested and the replica's response is "<behaviour>"
     Then the caller receives a complete response <status> without a replica's signature
@@ -20,7 +20,7 @@
       | two lengths      | 502    |
       | bad chunk        | 502    |
 
-  Scenario Outline: A repeatable call with a broken response is retried at another replica
+  Scenario Outline: A retryable call with a broken response is retried at another replica
     Given a gateway with two replicas per service
     When a receipt is requested and the first replica's response is "<behaviour>"
     Then the caller receives the other replica's complete response
--- a/features/gateway_once.feature
+++ b/features/gateway_once.feature
@@ -1,4 +1,4 @@
-Feature: Non-repeatable requests run at most once, and "not run" is reported only if it is true
+Feature: Non-retryable requests run at most once, and "not run" is reported only if it is true
 
   Scenario: A call that a replica refused ends with its refusal if the route allows one attempt
     Given a gateway with two replicas per service
@@ -26,7 +26,7 @@
   Scenario: Retries stay within the fleet's budget
     Given a gateway with three replicas that drop every response
     When 100 receipts are requested
-    Then the replicas received at most the requests, a fifth of them and the slack
+    Then the replicas received at most the requests, a fifth of them as retries, and the slack
 
   Scenario: An unreachable replica does not count as an attempt
     Given a gateway with two replicas per service
--- a/features/gateway_prepaid.feature
+++ b/features/gateway_prepaid.feature
@@ -11,7 +11,7 @@
     When the tokens are used and the operator raises them to 6000
     Then requests are served again
 
-  Scenario: A reduced cap is not exceeded with tokens that a router holds
+  Scenario: A reduced limit is not exceeded with tokens that a router holds
     Given two gateways and an account with 1000000 prepaid tokens
     When some requests are served and the operator reduces the tokens to those used
     Then further requests are refused with 402
--- a/features/outages.feature
+++ b/features/outages.feature
@@ -18,17 +18,17 @@
     Then the reserve is at half its full size
 
   Scenario Outline: Reserves after an outage are bounded, and grow back until the next one is expected
-    Given an account of 1000000 tokens of which <unheld> are unheld, and 20000 are used per second
+    Given an account of 1000000 tokens of which <unallocated> are unallocated, and 20000 are used per second
     When an outage of 8 seconds ended <passed> seconds ago
     Then the reserve is between <min> and <max> tokens
 
     Examples:
-      | unheld | passed | min    | max    |
-      | 900000 | 10     | 200000 | 300000 |
-      | 300000 | 10     | 170000 | 180000 |
-      | 300000 | 2      | 30000  | 40000  |
-      | 20000  | 10     | 10000  | 12000  |
+      | unallocated | passed | min    | max    |
+      | 900000      | 10     | 200000 | 300000 |
+      | 300000      | 10     | 170000 | 180000 |
+      | 300000      | 2      | 30000  | 40000  |
+      | 20000       | 10     | 10000  | 12000  |
 
-  Scenario: Reserves never exceed a fixed share of the unheld tokens
-    When reserves are sized for any demand, holding and outage
+  Scenario: Reserves never exceed a fixed share of the unallocated tokens
+    When reserves are sized for any demand, allocation and outage
     Then none is negative or exceeds that share
--- a/features/overload.feature
+++ b/features/overload.feature
@@ -1,9 +1,9 @@
-Feature: Under the worst load prompts stay where their shared parts are held
+Feature: Under overload, prompts go to replicas that have cached their shared segments
 
-  Scenario Outline: In "<pattern>" parts are read again less, and more requests begin in time
+  Scenario Outline: Under "<pattern>" load, fewer segments are recomputed and more requests start in time
     Given the load pattern "<pattern>"
-    When it is replayed by the own wait alone, and as routers choose
-    Then at most <read> of 100 shared tokens are read again, and no fewer requests begin in time
+    When it is replayed with the request's own wait alone, and with the policy of the routers
+    Then at most <read> of 100 shared tokens are recomputed, and no fewer requests start in time
 
     Examples:
       | pattern   | read |
@@ -13,17 +13,18 @@
       | usual     | 80   |
       | hot key   | 80   |
 
-  Scenario: Routers choose as the best of the ways that were compared
+  Scenario: Routers use the best of the compared choice policies
     Given all load patterns
-    When each is replayed under each way
-    Then the way that routers choose by has the most requests in time over all of them
+    When each is replayed with each policy
+    Then the policy of the routers starts the most requests in time over all patterns
 
-  # In need each engine takes few requests. Sent to any engine for which there was a permit, prompts
-  # were read where none of their shared parts was held, several at a time, and held up each other.
-  Scenario Outline: Where all engines name limits, prompts go where their shared parts are held
+  # Under a rate limit each engine accepts few requests. When prompts were sent to any engine with a
+  # permit, engines that had cached none of their shared segments computed several of them at a time,
+  # and the prompts delayed each other.
+  Scenario Outline: If all engines announce limits, prompts go to engines that have cached their segments
     Given engines that all announce a limit of <limit> requests per second
     When the usual traffic is placed by cost, and at random
-    Then placement by cost repeats at most <read> of 100 shared tokens, and no fewer requests start in time
+    Then placement by cost recomputes at most <read> of 100 shared tokens, and no fewer requests start in time
 
     Examples:
       | limit | read |
--- a/features/placements.feature
+++ b/features/placements.feature
@@ -13,7 +13,7 @@
   Scenario: The placements that a leader forwards fit into a datagram
     Given 60 routers in 2 failure domains that exchange placements through leaders
     When each router sends 50 requests before the leader forwards them
-    Then every message has less than 64000 bytes, and the rest is counted as dropped
+    Then every message has less than 64000 bytes, and the other placements are counted as dropped
 
   Scenario: A replica that has to process another router's long prompt is not chosen
     Given two replicas of equal speed
--- a/features/steps/allowance_steps.py
+++ b/features/steps/allowance_steps.py
@@ -173,7 +173,7 @@
     context.rules = {}
 
 
-@then("no history overspends if no router dies in the lost period")
+@then("no history overspends if no router terminates in the lost period")
 def no_overspend_without_deaths(context):
     @settings(max_examples=300)
     @given_any(RESTORED_HISTORIES)
@@ -183,7 +183,7 @@
     check()
 
 
-@then("no history overspends if one router dies in the lost period and its witness survives")
+@then("no history overspends if one router terminates in the lost period and its witness survives")
 def no_overspend_with_death(context):
     @settings(max_examples=300)
     @given_any(RESTORED_HISTORIES, ROUTER)
--- a/features/steps/allowance_world.py
+++ b/features/steps/allowance_world.py
@@ -138,14 +138,14 @@
         self.session = session
         self.witness_session = None
         self.known = {}
-        self.next = "told"
+        self.next = "delivered"
 
     def request_ceiling(self, account, ceiling):
         """Send a ceiling immediately; the reply may be lost."""
         if self.witness_session is None:
             self.witness_session = self.world.session_of(self.number + 1)
             self.known = {}
-        how, self.next = self.next, "told"
+        how, self.next = self.next, "delivered"
         is_current = self.world.session_of(self.number + 1) == self.witness_session
         if how == "lost":
             return
@@ -189,7 +189,7 @@
         self.number = number
         self.session = session
         self.count = 0
-        self.next = "told"
+        self.next = "delivered"
 
     def is_primary(self, account):
         return self.number == self.world.primary
@@ -230,7 +230,7 @@
         payment = Repayment(
             self.count, self.session, self.world.session_of(lender), account, amount
         )
-        how, self.next = self.next, "told"
+        how, self.next = self.next, "delivered"
         if how != "lost":
             self.world.repayments.append((lender, payment))
             self.world.deliver_repayment(lender, payment)
@@ -239,7 +239,7 @@
     def _ask(self, lender, account, needed, extra, held_only=False):
         self.count += 1
         request = LoanRequest(self.count, self.session, account, needed, extra, held_only)
-        how, self.next = self.next, "told"
+        how, self.next = self.next, "delivered"
         if how == "lost":
             return
 
--- a/features/steps/gateway_answers_steps.py
+++ b/features/steps/gateway_answers_steps.py
@@ -257,7 +257,7 @@
     context.statuses = [request_receipt(context, f"/receipt/{n}").status for n in range(100)]
 
 
-@then("the replicas received at most the requests, a fifth of them and the slack")
+@then("the replicas received at most the requests, a fifth of them as retries, and the slack")
 def within_retry_budget(context):
     arrivals = sum(len(replica.requests) for replica in context.fleet.of("portal"))
     assert 100 < arrivals <= 100 + 20 + 10, arrivals
--- a/features/steps/limited_choice_steps.py
+++ b/features/steps/limited_choice_steps.py
@@ -173,7 +173,7 @@
 
 
 @then(
-    "placement by cost repeats at most {read:d} of 100 shared tokens, "
+    "placement by cost recomputes at most {read:d} of 100 shared tokens, "
     "and no fewer requests start in time"
 )
 def compared(context, read):
--- a/features/steps/outages_steps.py
+++ b/features/steps/outages_steps.py
@@ -62,27 +62,27 @@
 
 
 @given(
-    "an account of {limit:d} tokens of which {unheld:d} are unheld, "
+    "an account of {limit:d} tokens of which {unallocated:d} are unallocated, "
     "and {rate:d} are used per second"
 )
-def account_with_demand(context, limit, unheld, rate):
+def account_with_demand(context, limit, unallocated, rate):
     context.demand = Demand(
-        committed=limit - unheld, waiting=0, per_second=rate, request_size=5_000
+        committed=limit - unallocated, waiting=0, per_second=rate, request_size=5_000
     )
-    context.limit, context.unheld = limit, unheld
+    context.limit, context.unallocated = limit, unallocated
 
 
 @when("an outage of {seconds:d} seconds ended {ago:d} seconds ago")
 def outage_ended_ago(context, seconds, ago):
-    holding = AllocationState(
+    allocation = AllocationState(
         context.limit,
-        context.unheld,
+        context.unallocated,
         routers=68,
         share=1.0,
         outage_ms=seconds * 1_000,
         readiness=min(1.0, ago / 10),
     )
-    context.reserve = AllowanceSizing().reserve(context.demand, holding)
+    context.reserve = AllowanceSizing().reserve(context.demand, allocation)
 
 
 @then("the reserve is between {min_tokens:d} and {max_tokens:d} tokens")
@@ -90,7 +90,7 @@
     assert min_tokens <= context.reserve <= max_tokens, context.reserve
 
 
-@when("reserves are sized for any demand, holding and outage")
+@when("reserves are sized for any demand, allocation and outage")
 def generated_reserves(context):
     tokens = st.integers(0, 10**7)
     fraction = st.floats(0, 1)
--- a/features/steps/placements_steps.py
+++ b/features/steps/placements_steps.py
@@ -117,7 +117,7 @@
         node.exchange.flush()
 
 
-@then("every message has less than {size:d} bytes, and the rest is counted as dropped")
+@then("every message has less than {size:d} bytes, and the other placements are counted as dropped")
 def check_message_sizes(context, size):
     assert 0 < context.network.largest < size, context.network.largest
     assert context.network.counters.calls == 2 * (30 * 50 - 400), context.network.counters.calls
--- a/features/steps/process_steps.py
+++ b/features/steps/process_steps.py
@@ -205,8 +205,8 @@
     assert context.agents[0].stop() == 0, context.agents[0].text
 
 
-@when("a router is started with a bad address")
-def bad_address(context):
+@when("a router is started with an invalid address")
+def invalid_address(context):
     context.folder = context.cleanup.enter_context(tempfile.TemporaryDirectory())
     process = start(context, "bad", ["router"], {"instance": {"name": "r", "listen": "example:80"}})
     context.code = process.process.wait(60)
@@ -214,7 +214,7 @@
     context.printed = process.text
 
 
-@then("it exits with code 2 and names file, section, key and the accepted form")
+@then("it exits with code 2 and names file, section, key and the accepted format")
 def exit_two(context):
     assert context.code == 2, context.printed
     assert "bad.ini: [instance] listen: 'example:80' is not accepted: IP:port" in context.printed
--- a/features/steps/replica_limit_answers_steps.py
+++ b/features/steps/replica_limit_answers_steps.py
@@ -30,7 +30,7 @@
     _Candidate,
     _Chooser,
     _Exchange,
-    _Spelling,
+    _HeaderCodec,
     request,
 )
 
@@ -175,7 +175,7 @@
 
     pool = SlowPool(set_limit)
     dependencies = AttemptDependencies(
-        _Spelling(), pool, fixture.clock, _Chooser(), fixture.registry
+        _HeaderCodec(), pool, fixture.clock, _Chooser(), fixture.registry
     )
     attempt = Attempt(dependencies, _Exchange(), _Candidate(view), None, context.permit, "i-1")
     context.raised = None
--- a/features/steps/replica_statements_steps.py
+++ b/features/steps/replica_statements_steps.py
@@ -111,7 +111,7 @@
 
 
 @when("both restart under their ids, with a later start time or a sequence number that starts over")
-def both_back_offart(context):
+def both_restart(context):
     by_time, by_number = context.fixtures
     by_time.list_records([])
     by_time.born += 9_000
@@ -323,7 +323,7 @@
     fixture = RegistryFixture(["i-1"])
     view = fixture.view("i-1")
     pool = SlowPool(lambda _: fixture.registry.record_notice(view, LEAVING))
-    parts = AttemptDependencies(_Spelling(), pool, fixture.clock, _Chooser(), fixture.registry)
+    parts = AttemptDependencies(_HeaderCodec(), pool, fixture.clock, _Chooser(), fixture.registry)
     settled = []
     attempt = Attempt(parts, _Exchange(), _Candidate(view), None, _Permit(settled), "i-1")
     try:
@@ -344,7 +344,7 @@
     assert context.availability is Availability.LEAVING
 
 
-class _Spelling:
+class _HeaderCodec:
     def replica_headers(self, request, **fields):
         return ()
 
--- a/features/steps/upgrades_steps.py
+++ b/features/steps/upgrades_steps.py
@@ -266,7 +266,10 @@
     context.other = context.fleet.add_router(build=root)
 
 
-@then("its start line, member record and metrics name {name}, and count one router as untold")
+@then(
+    "its start line, member record and metrics name {name}, "
+    "and count one router without a reported build"
+)
 def check_build_reported(context, name):
     assert context.other.find("gateway.started")["build"] == name
     record = context.fleet.store.value(f"{MEMBER_PREFIX}router-2")
--- a/features/steps/verification_steps.py
+++ b/features/steps/verification_steps.py
@@ -38,7 +38,7 @@
     assert context.trace
 
 
-@then("the code, led through the same steps, stays within the budget")
+@then("the code, run through the same transitions, stays within the budget")
 def replayed(context):
     paid = context.trace[-1].state["paid"]
     replay = Replay(paid - sum(top_ups(context.trace)))
--- a/features/upgrades.feature
+++ b/features/upgrades.feature
@@ -98,7 +98,7 @@
   Scenario: The build of each router is reported
     Given a gateway of build 49152d8 that serves, and replicas
     When a gateway of the current build named v9 starts next to it
-    Then its start line, member record and metrics name v9, and count one router as untold
+    Then its start line, member record and metrics name v9, and count one router without a reported build
 
   Scenario: Unreadable messages of another build are logged once per kind and counted
     Given a port for messages between routers
--- a/features/verification.feature
+++ b/features/verification.feature
@@ -10,10 +10,10 @@
       | claims   |
       | versions |
 
-  Scenario Outline: Without "<rule>" the specification breaks and the code does not
+  Scenario Outline: Without "<rule>" the model violates a property, and the code does not
     When the money model is searched without "<rule>"
     Then it has a counterexample
-    And the code, led through the same steps, stays within the budget
+    And the code, run through the same transitions, stays within the budget
 
     Examples:
       | rule                               |
