--- a/src/aspengate/cold_starts/_limiter.py
+++ b/src/aspengate/cold_starts/_limiter.py
@@ -59,7 +59,7 @@
             self._peer_requests[replica].append(self._clock.monotonic_ms())
 
     def forget(self, replica: str) -> None:
-        """Drop the state of a replica that is gone, except for its requests within the window.
+        """Drop the state of a removed replica, except for its requests within the window.
 
         They are kept because its record may have lapsed and come back under the same id.
         """
--- a/src/aspengate/connections/_response.py
+++ b/src/aspengate/connections/_response.py
@@ -22,7 +22,7 @@
 class ReplicaResponse:
     """A response whose head was received; ``next_data`` returns its body piece by piece.
 
-    ``is_framed`` tells whether the response delimits itself, by a length or chunks, instead of
+    ``is_framed`` is whether the response delimits itself, by a length or chunks, instead of
     by the end of the connection. ``is_complete`` is set once the whole body was read.
     """
 
--- a/src/aspengate/crashes/__init__.py
+++ b/src/aspengate/crashes/__init__.py
@@ -1,6 +1,6 @@
 """Detection of requests that crash replicas, and rules for when such a request may run again.
 
-Load pattern: one request crashes each replica that starts to run it, and its caller repeats it to
+Load pattern: one request crashes each replica that starts to run it, and its caller retries it at
 any router; up to 64 other requests are lost with each replica. Without these rules one request
 that was sent twice a second crashed 20 replicas in 40 s.
 """
--- a/src/aspengate/crashes/_policy.py
+++ b/src/aspengate/crashes/_policy.py
@@ -48,12 +48,12 @@
     long_pause_ms: float = 600_000.0
     trial_timeout_ms: float = 20_000.0
 
-    def pause_after(self, tries: int, ended: int, *, has_ended: bool) -> float:
+    def pause_after(self, trials: int, crashed: int, *, has_ended: bool) -> float:
         """Return the pause after a trial, in ms, during which no router starts another one.
 
-        ``tries`` counts all trials, ``ended`` those that crashed their replica; ``has_ended``
-        tells whether the last one did.
+        ``trials`` counts all trials, ``crashed`` those that crashed their replica; ``has_ended``
+        is whether the last one did.
         """
         if has_ended:
-            return self.crash_pause_ms * self.crash_pause_factor ** max(0, ended - 1)
-        return self.short_pause_ms if tries < self.quick_trials else self.long_pause_ms
+            return self.crash_pause_ms * self.crash_pause_factor ** max(0, crashed - 1)
+        return self.short_pause_ms if trials < self.quick_trials else self.long_pause_ms
--- a/src/aspengate/fleet_permits/_permits.py
+++ b/src/aspengate/fleet_permits/_permits.py
@@ -131,7 +131,7 @@
                 self._record_settled(granted.subject, self._clock.monotonic_ms(), sent=sent)
 
     def forget(self, subject: str) -> None:
-        """Drop the cached rank of a subject that is gone, and expired usage of all subjects.
+        """Drop the cached rank of a removed subject, and expired usage of all subjects.
 
         Unexpired usage is kept because the subject may come back under the same name.
         """
--- a/src/aspengate/fleet_permits/_shares.py
+++ b/src/aspengate/fleet_permits/_shares.py
@@ -8,7 +8,7 @@
 from aspengate.clock import Clock
 
 # The fraction of a bound's permits that the router with rank 0 holds if the other routers request
-# permits from it: it can tell at once whether one is available. The other routers use the rest
+# permits from it: that router finds out at once whether one is free. The other routers use the rest
 # without a request, also while the first router is unavailable.
 _FIRST_FRACTION = 0.75
 
@@ -97,7 +97,7 @@
         return routers
 
     def forget(self, subject: str) -> None:
-        """Drop the cached ranks of a subject that is gone."""
+        """Drop the cached ranks of a subject that no longer exists."""
         self._ranks.pop(subject, None)
         self._top_ranked.pop(subject, None)
 
--- a/src/aspengate/gateway/_attempt_timeouts.py
+++ b/src/aspengate/gateway/_attempt_timeouts.py
@@ -30,10 +30,10 @@
 
 
 class AttemptTimeouts:
-    """The timeouts of one attempt; only attempts on repeatable routes are ever abandoned.
+    """The timeouts of one attempt; only attempts on retryable routes are ever abandoned.
 
     An attempt is abandoned only if ``may_retry`` grants a retry. That bounds the load on an
-    overloaded service, and keeps a request waiting if no other replica can take it.
+    overloaded service, and keeps a request waiting if no other replica can accept it.
     """
 
     def __init__(
--- a/src/aspengate/gateway/_crash_guard.py
+++ b/src/aspengate/gateway/_crash_guard.py
@@ -23,7 +23,7 @@
 class CrashTrial:
     """Permission to send a suspect request once, to one replica.
 
-    ``recorded`` tells whether the trial is recorded in the store, and ``sent`` whether the request
+    ``recorded`` is whether the trial is recorded in the store, and ``sent`` whether the request
     was sent to a replica. ``ended_run`` is the replica's run if that terminated, otherwise empty.
     """
 
@@ -99,7 +99,7 @@
     def admit(self, fingerprint: str, trial: CrashTrial | None) -> CrashTrial | None:
         """Return the trial in which a request may be sent, or None if it needs no trial.
 
-        ``trial`` is the one that an earlier attempt of the request got, if any. Raises SUSPECTED
+        ``trial`` is that of an earlier attempt of the request, if it had one. Raises SUSPECTED
         or QUARANTINED if the request may not be sent.
         """
         if self.check(fingerprint, trial) is Verdict.TRY and trial is None:
--- a/src/aspengate/gateway/_daemon.py
+++ b/src/aspengate/gateway/_daemon.py
@@ -92,7 +92,7 @@
         deployment.store.era.on_increase = self._on_store_era
         self.holder = ConfigurationHolder(clock)
         self.pool = ConnectionPool(clock, _MAX_IDLE_CONNECTION_MS)
-        self.parts = SegmentTracker()
+        self.segments = SegmentTracker()
         self.registry = ReplicaRegistry(clock, self._on_replica_gone, self._send_limit)
         self._reader = StoreReader(deployment, self.holder, self.registry, counters)
         self.retries = SharedRetryBudget(_retry_policy(settings), clock)
@@ -119,7 +119,7 @@
             counters,
             self._reader,
             self.crashes.load_records,
-            stance=lambda: self.peering.stance(),
+            mode=lambda: self.peering.mirror_mode(),
             leads=lambda: self.peering.members.leads,
             last_request_ms=lambda: self.application.last_request_ms,
         )
@@ -146,7 +146,7 @@
         self._ticker = supervised_thread(self._tick, "ticker", counters)
 
     def start(self) -> None:
-        """Start to serve requests."""
+        """Start serving requests."""
         self.mirrors.start()
         self.peering.start()
         self.crashes.start(self.peering.session)
@@ -292,7 +292,7 @@
                 self.registry,
                 self.bounds,
                 self.crashes,
-                self.parts,
+                self.segments,
                 self.clock,
                 lambda: self.tokens,
             ),
@@ -368,7 +368,7 @@
 
     def _make_application(self) -> GatewayApplication:
         header_codec = self.deployment.header_codec
-        chooser = ReplicaChooser(self.parts, self.settings.failure_domain)
+        chooser = ReplicaChooser(self.segments, self.settings.failure_domain)
         return GatewayApplication(
             header_codec=header_codec,
             holder=self.holder,
@@ -416,11 +416,11 @@
 
     def _on_replica_gone(self, view: ReplicaView) -> None:
         self.pool.discard(view.incarnation)
-        self.parts.forget(view.identity)
+        self.segments.forget(view.identity)
         self.bounds.forget(view.identity)
 
-    def _send_limit(self, life: str, limit: ReportedLimit) -> None:
-        word = LimitWord(life, limit.number, limit.per_second)
+    def _send_limit(self, incarnation: str, limit: ReportedLimit) -> None:
+        word = LimitWord(incarnation, limit.number, limit.per_second)
         self.peering.limits.announce(LimitNotice([word]))
 
     def _on_router_count(self, count: int) -> None:
--- a/src/aspengate/gateway/_mirror_sharing.py
+++ b/src/aspengate/gateway/_mirror_sharing.py
@@ -33,7 +33,7 @@
 # is limited to 64 KB; a single larger item is fetched. A replica's item has about 250 bytes.
 _MAX_PUSHED_BYTES = 16_384
 # If there are more messages, the change is only announced and each router of the domain fetches
-# it: a burst of datagrams to all of them would saturate links of 10 Mbit/s and get lost.
+# it: a burst of datagrams to all of them would saturate links of 10 Mbit/s and be lost.
 _MAX_PUSHED_MESSAGES = 4
 # Number of other peers that are tried if the one that announced a change does not respond.
 _FALLBACK_SOURCES = 2
--- a/src/aspengate/gateway/_peer_services.py
+++ b/src/aspengate/gateway/_peer_services.py
@@ -45,14 +45,14 @@
         registry: ReplicaRegistry,
         bounds: ReplicaBounds,
         crashes: CrashGuard,
-        parts: SegmentTracker,
+        segments: SegmentTracker,
         clock: Clock,
         tokens: Callable[[], TokenAccounts],
     ) -> None:
         self._registry = registry
         self._bounds = bounds
         self._crashes = crashes
-        self._parts = parts
+        self._segments = segments
         self._clock = clock
         self._tokens = tokens
 
@@ -63,7 +63,7 @@
         self._tokens().handle_loan_request(request, answer)
 
     def handle_repayment(self, payment: Repayment) -> bool:
-        """Take tokens back from another router; return whether the repayment is settled."""
+        """Accept tokens that another router repays; return whether the repayment is settled."""
         return self._tokens().handle_repayment(payment)
 
     def accept_ceilings(self, notice: CeilingNotice) -> bool:
@@ -87,8 +87,8 @@
             return
         self._bounds.cold_starts.record_peer_request(view.identity)
         view.record_remote_request(placed.tokens, placed.expected_ms, now)
-        for part in placed.parts:
-            self._parts.record_sent(part, view.identity, now)
+        for segment in placed.parts:
+            self._segments.record_sent(segment, view.identity, now)
 
     def handle_crash_notice(self, notice: CrashNotice) -> None:
         """Record crashes that another router has detected."""
@@ -108,7 +108,10 @@
     def known_limits(self) -> LimitNotice | None:
         """Return a notice of rate limits for a router that has just started, or None."""
         limits = self._registry.limits(_MAX_RESENT_LIMITS)
-        words = [LimitWord(life, each.number, each.per_second) for life, each in limits.items()]
+        words = [
+            LimitWord(incarnation, each.number, each.per_second)
+            for incarnation, each in limits.items()
+        ]
         return LimitNotice(words) if words else None
 
     def handle_permit_request(
--- a/src/aspengate/gateway/_peering.py
+++ b/src/aspengate/gateway/_peering.py
@@ -240,7 +240,7 @@
         delay_ms = random.uniform(0.0, self.members.count * _REREGISTRATION_INTERVAL_MS)
         self._reregister_due_ms = self._clock.monotonic_ms() + delay_ms
 
-    def stance(self) -> MirrorMode:
+    def mirror_mode(self) -> MirrorMode:
         """Return the source of this router's store changes."""
         return self.leadership.mode
 
@@ -282,8 +282,8 @@
         if all(mirror.last_watch_succeeded for mirror in self.mirrors.values()):
             return True
         return any(
-            sign.leads and sign.reaches_store
-            for sign in self.members.recent_statuses(_LEADER_TIMEOUT_MS)
+            status.leads and status.reaches_store
+            for status in self.members.recent_statuses(_LEADER_TIMEOUT_MS)
         )
 
     def _update_leadership(self) -> None:
@@ -301,9 +301,9 @@
             receivers = known
         else:
             leaders = {
-                sign.member.address
-                for sign in self.members.recent_statuses(_LEADER_TIMEOUT_MS)
-                if sign.leads
+                status.member.address
+                for status in self.members.recent_statuses(_LEADER_TIMEOUT_MS)
+                if status.leads
             }
             others = [each for each in known if each not in leaders]
             chosen = random.sample(others, min(_HEARTBEAT_RECEIVERS, len(others)))
@@ -423,8 +423,8 @@
             self._store.era.record(era)
         for prefix, revision in news.newest_revisions.items():
             self.sharing.request_fetch(prefix, revision, news.member.address)
-        for life in news.replaced:
-            self.registry.record_replaced(life, news.member.name)
+        for incarnation in news.replaced:
+            self.registry.record_replaced(incarnation, news.member.name)
 
     def _addresses(self) -> list[str]:
         """Return the addresses of the other routers, or those of the seeds if none is known."""
--- a/src/aspengate/gateway/_permit_client.py
+++ b/src/aspengate/gateway/_permit_client.py
@@ -39,7 +39,7 @@
     """Requests permits from the routers that hold them.
 
     ``address_of`` returns the address of a router by its name, or an empty string if it is unknown.
-    ``send`` sends a message to an address; the message may get lost. ``session`` returns the name
+    ``send`` sends a message to an address; the message may be lost. ``session`` returns the name
     of this router's session.
     """
 
@@ -75,11 +75,11 @@
             self._send(PermitUse(reply.number, self._session(), sent=False), address)
 
     def request_permit(
-        self, router: str, wanted: Sequence[ReplicaView], most_wait_ms: float
+        self, router: str, wanted: Sequence[ReplicaView], max_wait_ms: float
     ) -> GrantedPermit | None:
         """Request a permit for one of the rate-limited replicas ``wanted`` from a router.
 
-        The permit can be used within ``most_wait_ms``. Returns None if the router grants none or
+        The permit can be used within ``max_wait_ms``. Returns None if the router grants none or
         does not reply before the timeout. Blocks until then; a reply takes some ms.
         """
         address = self._address_of(router)
@@ -93,7 +93,7 @@
         views = {view.incarnation: view for view in wanted[:_MAX_WORDS]}
         words = [limit_word_of(view) for view in views.values()]
         self._counters.count("permits.asked")
-        self._send(PermitRequest(number, self._session(), words, int(most_wait_ms)), address)
+        self._send(PermitRequest(number, self._session(), words, int(max_wait_ms)), address)
         pending.answered.wait(_REPLY_TIMEOUT_MS / 1_000)
         with self._lock:
             del self._pending[number]
--- a/src/aspengate/gateway/_rate_limited_selection.py
+++ b/src/aspengate/gateway/_rate_limited_selection.py
@@ -1,4 +1,4 @@
-"""Selects a replica if all available ones have rate limits, or says when to retry."""
+"""Selects among replicas that all have rate limits, or computes when to retry."""
 
 import random
 from collections.abc import Sequence
@@ -34,13 +34,13 @@
     def __init__(
         self,
         bounds: ReplicaBounds,
-        asker: PermitClient,
+        permit_client: PermitClient,
         chooser: ReplicaChooser,
         clock: Clock,
         counters: Counters,
     ) -> None:
         self.bounds = bounds
-        self.asker = asker
+        self.permit_client = permit_client
         self.chooser = chooser
         self.clock = clock
         self.counters = counters
@@ -58,7 +58,7 @@
         asked: set[str] = set()
         for index, candidate in enumerate(candidates):
             found = self._acquire_own(candidate, exchange, wait_ms)
-            holder = self.asker.holders.holder_of(candidate.view)
+            holder = self.permit_client.holders.holder_of(candidate.view)
             if found is None and holder and holder not in asked and len(asked) < _MAX_ROUTERS_ASKED:
                 asked.add(holder)
                 # The reply may also state that the replica no longer has a rate limit.
@@ -79,7 +79,7 @@
         per_second = sum(view.reported.limit.rate_at(now) or 0.0 for view in limited)
         per_second = max(per_second, _MIN_PER_SECOND)
         waits = [self.bounds.limiter.ready_in_ms(view) for view in limited]
-        waits += [self.asker.holders.ready_in_ms(view) for view in limited]
+        waits += [self.permit_client.holders.ready_in_ms(view) for view in limited]
         ready_ms = min((each for each in waits if each is not None), default=1_000 / per_second)
         own_per_second = per_second / self.bounds.shares.router_count
         back_ms = self.retry_schedule.retry_after_ms(
@@ -106,9 +106,11 @@
         asked = {
             each.view.incarnation: each
             for each in candidates
-            if self.asker.holders.holder_of(each.view) == holder
+            if self.permit_client.holders.holder_of(each.view) == holder
         }
-        granted = self.asker.request_permit(holder, [each.view for each in asked.values()], wait_ms)
+        granted = self.permit_client.request_permit(
+            holder, [each.view for each in asked.values()], wait_ms
+        )
         if granted is None:
             return None
         permit = self.bounds.acquire_with_permit(
--- a/src/aspengate/gateway/_replica_bounds.py
+++ b/src/aspengate/gateway/_replica_bounds.py
@@ -42,7 +42,7 @@
         self.shares.set_routers(names, count)
 
     def forget(self, replica: str) -> None:
-        """Drop the state of a replica that is gone, except for the requests that it received."""
+        """Drop the state of a removed replica, except for the requests that it received."""
         self.cold_starts.forget(replica)
         self.limiter.permits.forget(replica)
 
@@ -57,13 +57,13 @@
         return self.limiter.limited(self.cold_starts.eligible(ready, service))
 
     def acquire(
-        self, view: ReplicaView, service: Service, most_wait_ms: float = 0.0
+        self, view: ReplicaView, service: Service, max_wait_ms: float = 0.0
     ) -> Permit | None:
         """Return a permit to send one request to a replica, or None if no permit is available."""
         cold = self.cold_starts.acquire(view, service)
         if cold is None:
             return None
-        limited = self.limiter.acquire(view, most_wait_ms)
+        limited = self.limiter.acquire(view, max_wait_ms)
         if limited is None:
             cold.settle(sent=False)
             return None
--- a/src/aspengate/gateway/_store_mirrors.py
+++ b/src/aspengate/gateway/_store_mirrors.py
@@ -20,7 +20,7 @@
 _WATCH_TIMEOUT_MS = 25_000
 # Delay before the next watch, in ms, in which changes accumulate. The platform's strictest limit
 # on the delay from a change of the configuration or of a leaving replica to the first request that
-# respects it is 2 s. With requests in progress a tenth of it is used; without requests, nobody is
+# respects it is 2 s. With requests in progress a tenth of it is used; without requests, none is
 # served from the mirror, and half of it is used.
 _COALESCE_MS = 150.0
 _IDLE_COALESCE_MS = 800.0
@@ -36,9 +36,9 @@
     """Holds the mirrors of the items that the operator, the replicas and the routers write.
 
     ``reader`` applies the items of the operator and the replicas, and ``load_records`` the crash
-    records, which routers write. ``stance`` returns where changes are received from, ``leads``
-    whether this router follows the store for others, and ``last_request_ms`` the time of its last
-    request, in monotonic milliseconds.
+    records, which routers write. ``mode`` returns how changes are received, ``leads`` whether
+    this router follows the store for others, and ``last_request_ms`` the time of its last request,
+    in monotonic milliseconds.
     """
 
     def __init__(
@@ -49,14 +49,14 @@
         reader: StoreReader,
         load_records: Callable[[MirrorState], None],
         *,
-        stance: Callable[[], MirrorMode],
+        mode: Callable[[], MirrorMode],
         leads: Callable[[], bool],
         last_request_ms: Callable[[], float],
     ) -> None:
         self._store = deployment.store
         self._clock = clock
         self._counters = counters
-        self._stance = stance
+        self._mode = mode
         self._leads = leads
         self._last_request_ms = last_request_ms
         self.operator = self._mirror(
@@ -99,7 +99,7 @@
             on_change,
             _WATCH_TIMEOUT_MS,
             self._coalesce_ms,
-            mode=self._stance,
+            mode=self._mode,
             max_backoff_ms=self._max_backoff_ms,
             retention_ms=keep_ms,
             order=order,
--- a/src/aspengate/gateway/prepaid/_loans.py
+++ b/src/aspengate/gateway/prepaid/_loans.py
@@ -96,8 +96,8 @@
         store, or None to ignore that.
         """
 
-    def lenders(self, most: int) -> list[Member]:
-        """Return up to ``most`` live routers, those that reach the store first."""
+    def lenders(self, max_count: int) -> list[Member]:
+        """Return up to ``max_count`` live routers, those that reach the store first."""
 
     def alive(self) -> list[Member]:
         """Return the other routers from which a message arrived recently."""
--- a/src/aspengate/gateway/prepaid/_supply.py
+++ b/src/aspengate/gateway/prepaid/_supply.py
@@ -116,7 +116,7 @@
         return left < source.limit * _SCARCE_RATIO
 
     def extra_to_lend(self, account: Account, extra: int) -> int:
-        """Return how many tokens a borrower gets beyond its need while tokens are not scarce."""
+        """Return how many tokens a borrower receives beyond its need unless they are scarce."""
         return max(0, min(extra, int(account.balance.held * _EXTRA_RATIO)))
 
     def return_surplus(self, account: Account, now: float) -> None:
--- a/src/aspengate/peers/_datagrams.py
+++ b/src/aspengate/peers/_datagrams.py
@@ -1,4 +1,4 @@
-"""A UDP socket for small messages between routers, which may get lost."""
+"""A UDP socket for small messages between routers, which may be lost."""
 
 import contextlib
 import socket
--- a/src/aspengate/peers/_leadership.py
+++ b/src/aspengate/peers/_leadership.py
@@ -13,7 +13,7 @@
 from aspengate.store import MirrorMode
 from aspengate.telemetry import log_change
 
-# Time in ms after its last status message at which a leader counts as gone: three of its status
+# Time in ms after its last status message at which a leader counts as dead: three of its status
 # intervals. Together with the takeover steps below it limits the delay of a change when a leader
 # dies to 1.5 s, of the 2 s that the strictest platform allows.
 _LEADER_TIMEOUT_MS = 1_000.0
@@ -51,7 +51,7 @@
 
     ``prefixes`` are the prefixes of the store that this router needs. A leader of an older build
     that watches fewer prefixes, or that does not name the era of its revisions, is not accepted:
-    no one would report the changes that it does not watch, and its revisions cannot be compared.
+    no router would report the changes that it does not watch, and its revisions cannot be compared.
     """
 
     def __init__(self, members: MemberList, clock: Clock, prefixes: Collection[str] = ()) -> None:
--- a/src/aspengate/peers/_members.py
+++ b/src/aspengate/peers/_members.py
@@ -23,7 +23,7 @@
 # Number of other routers that remember a grant of the store to a router. With two, one of them and
 # the router itself may die at the same time.
 _BACKUP_COUNT = 2
-# Stands for the build of routers that do not report one.
+# The build that is assumed for routers that do not report one.
 _UNREPORTED_BUILD = "untold"
 # Time in ms after its last status message for which a leader may be the primary of an account:
 # three of its status intervals.
@@ -52,7 +52,7 @@
     ``reaches_store`` is whether the store answers it, ``leads`` whether it leads its failure
     domain, and ``listed`` the number of routers that it is aware of, 0 if it has not read the
     store's list. ``prefixes`` are the prefixes of the store of which it receives changes and names
-    the era. ``restored`` is the era of the store that contains all account documents that it knows.
+    the era. ``restored`` is the era of the store that contains all account documents known to it.
     """
 
     member: Member
@@ -247,12 +247,12 @@
         return max(members, key=lambda each: _weight(subject, each)).name == self.own.name
 
     def has_restored(self, session: str, era: int) -> bool:
-        """Return whether a session reports that ``era`` contains all account documents it knows."""
+        """Return whether ``session`` reports that ``era`` contains all its account documents."""
         statuses = self.recent_statuses(_ALIVE_MS)
         return any(each.member.session == session and each.restored >= era for each in statuses)
 
     def all_restored(self, era: int) -> bool:
-        """Return whether ``era`` contains all account documents that other live routers know."""
+        """Return whether ``era`` contains all account documents known to other live routers."""
         return all(status.restored >= era for status in self.recent_statuses(_ALIVE_MS))
 
     def backup_peers(self, subject: str) -> list[Member]:
--- a/src/aspengate/peers/_messages.py
+++ b/src/aspengate/peers/_messages.py
@@ -27,7 +27,7 @@
     its failure domain, and ``listed`` the number of routers that it is aware of, 0 if it has not
     read the store's list. ``replaced`` are incarnations of listed replicas at whose addresses
     other replicas respond. ``restored`` is the era of the store, of those in ``eras``, that
-    contains all account documents that this router knows.
+    contains all account documents known to this router.
     """
 
     member: Member
@@ -160,7 +160,7 @@
 
 
 class LimitNotice(msgspec.Struct, frozen=True, tag="limits"):
-    """The limits that replicas stated in their responses, as a router knows them."""
+    """The limits that replicas stated in their responses, as known to one router."""
 
     words: list[LimitWord] = []
 
@@ -168,7 +168,7 @@
 class PermitRequest(msgspec.Struct, frozen=True, tag="permit"):
     """Asks for a permit to send one request to one of several rate-limited replicas.
 
-    ``words`` are the limits of these replicas as the session knows them, in order of preference.
+    ``words`` are the limits of these replicas as known to the session, in order of preference.
     The permit may become valid at most ``most_wait_ms`` later.
     """
 
--- a/src/aspengate/peers/_notices.py
+++ b/src/aspengate/peers/_notices.py
@@ -1,4 +1,4 @@
-"""Broadcasts of rare events to all other routers, repeated because datagrams may get lost."""
+"""Broadcasts of rare events to all other routers, repeated because datagrams may be lost."""
 
 import threading
 from collections.abc import Callable, Iterable
--- a/src/aspengate/replica_limits/_holders.py
+++ b/src/aspengate/replica_limits/_holders.py
@@ -10,7 +10,7 @@
 
 # The delay before a router that did not reply is asked again, in ms.
 _UNRESPONSIVE_BACKOFF_MS = 1_000.0
-# The delay before a holder that can't tell when a permit is ready is asked again, in ms.
+# The delay before a holder that can't determine when a permit is ready is asked again, in ms.
 _UNKNOWN_READY_MS = 200.0
 # The maximum number of remembered replies: one for each holder and replica that this router uses.
 _MAX_REPLIES = 10_000
--- a/src/aspengate/replicas/_availability.py
+++ b/src/aspengate/replicas/_availability.py
@@ -1,4 +1,4 @@
-"""Decides whether a replica may get new requests, with the reason if not."""
+"""Decides whether a replica may receive new requests, with the reason if not."""
 
 import enum
 from collections.abc import Collection
@@ -8,7 +8,7 @@
 
 
 class Availability(enum.Enum):
-    """Why a replica gets no new requests; if several reasons apply, the first one here.
+    """Why a replica receives no new requests; if several reasons apply, the first one here.
 
     The values appear in the reasons of refused requests.
     """
--- a/src/aspengate/replicas/_registry.py
+++ b/src/aspengate/replicas/_registry.py
@@ -15,8 +15,8 @@
 from aspengate.store import number_of
 from aspengate.telemetry import log_change
 
-# How long an incarnation gets no requests after another replica responded at its address. Usually
-# its record is removed or replaced earlier; this bounds the effect of a wrong response.
+# How long an incarnation receives no requests after another replica responded at its address. In
+# most cases its record is removed or replaced earlier; this bounds the effect of a wrong response.
 _REPLACED_EXCLUSION_MS = 15_000.0
 # Limit on the unlisted replicas whose reported state is kept, at 1.6 KB each; about as many
 # replicas terminate in a day.
@@ -114,7 +114,7 @@
         return [view for view in ready if view.identity not in excluded] if excluded else ready
 
     def availability(self, view: ReplicaView) -> Availability:
-        """Return whether an incarnation may get a request now, or why not."""
+        """Return whether an incarnation may receive a request now, or why not."""
         return availability_of(view, self._evacuated, self.clock.monotonic_ms())
 
     def availability_counts(self, service: str) -> dict[Availability, int]:
--- a/src/aspengate/replicas/_replica.py
+++ b/src/aspengate/replicas/_replica.py
@@ -5,7 +5,7 @@
 
 
 class ReplicaState(enum.Enum):
-    """Whether a replica takes new requests."""
+    """Whether a replica accepts new requests."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -18,7 +18,7 @@
     ``born_ms`` is its start time in milliseconds since the Unix epoch, 0 if the record has none.
     ``number`` is the sequence number of the record; it starts over with each start and is not
     compared. ``slots`` is how many requests it processes concurrently. ``cold_ms`` is how long it
-    stays cold from the time of the record on, during which it can take only few requests.
+    stays cold from the time of the record on, during which it can handle only a few requests.
     """
 
     identity: str
--- a/src/aspengate/replicas/_reported_limit.py
+++ b/src/aspengate/replicas/_reported_limit.py
@@ -63,7 +63,7 @@
         return ReportedLimit(number, per_second, self.per_second, now_ms)
 
     def rate_at(self, now_ms: float) -> float | None:
-        """Return how many requests per second the replica may get, None for no limit."""
+        """Return how many requests per second the replica may receive, None for no limit."""
         if self.per_second is not None or self.previous_per_second is None:
             return self.per_second
         step = int((now_ms - self.updated_ms) / _STEP_MS) + 1
--- a/src/aspengate/replicas/_segments.py
+++ b/src/aspengate/replicas/_segments.py
@@ -36,7 +36,7 @@
             return dict(self._holders.get(segment, {}))
 
     def forget(self, replica: str) -> None:
-        """Remove a replica that is gone from all segments."""
+        """Remove a replica from all segments."""
         with self._lock:
             for holders in self._holders.values():
                 holders.pop(replica, None)
--- a/src/aspengate/replicas/_view.py
+++ b/src/aspengate/replicas/_view.py
@@ -70,14 +70,14 @@
 
 
 class ReplicaView:
-    """Holds what a router knows about one incarnation of a replica.
+    """Holds the state, as known to one router, of one incarnation of a replica.
 
     ``previous_starts`` counts the earlier incarnations, for a replica whose record has no start
     time. ``slowness`` is the usual ratio of observed to expected time to first token, which also
     reflects the load by other routers. ``interval_ms`` is the usual time between two events of a
     stream, 0 if unknown, and ``response_ms`` the usual time of a complete plain response.
 
-    Until ``replaced_until_ms``, in monotonic time, the incarnation gets no requests, as another
+    Until ``replaced_until_ms``, in monotonic time, the incarnation receives no requests, as another
     replica responded at its address. By its record it is cold until ``cold_until_ms``; it may also
     be cold from ``evacuation_ended_ms`` on, when the evacuation of its failure domain ended.
     ``reported`` is the state from its responses, and ``unreadable_logged`` is whether an unreadable
--- a/src/aspengate/serving/_relay_server.py
+++ b/src/aspengate/serving/_relay_server.py
@@ -114,7 +114,7 @@
 
     @property
     def address(self) -> str:
-        """The address that the server listens at, as ``host:port``."""
+        """The address that the server listens on, as ``host:port``."""
         return f"{self.effective_host}:{self.effective_port}"
 
     @property
@@ -128,11 +128,11 @@
         return sum(1 for channel in list(self.active_channels.values()) if channel.requests)
 
     def start(self) -> None:
-        """Start to serve."""
+        """Start serving."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop to serve and close all connections, also those with a request in progress."""
+        """Stop serving and close all connections, also those with a request in progress."""
         self._closing.set()
         self.pull_trigger()
         self._thread.join(timeout=1.0)
--- a/src/aspengate/serving/_relay_task.py
+++ b/src/aspengate/serving/_relay_task.py
@@ -37,7 +37,7 @@
 
     Call either ``respond`` once, or ``start``, ``write`` any number of times, and then ``finish``
     or ``abort``. The methods that send raise CallerGoneError if the caller has disconnected.
-    ``closing`` tells whether the connection is closed after the response.
+    ``closing`` is whether the connection is closed after the response.
     """
 
     def __init__(self, channel: Any, request: ReceivedRequest, closing: bool) -> None:
@@ -88,7 +88,7 @@
         self.ended = True
 
     def abort(self) -> None:
-        """Close the connection so that the caller can tell that the response is incomplete.
+        """Close the connection so that the caller detects that the response is incomplete.
 
         Without chunks that takes a reset, since an orderly close would end the response.
         """
--- a/src/aspengate/serving/_server.py
+++ b/src/aspengate/serving/_server.py
@@ -49,11 +49,11 @@
         self._thread = threading.Thread(target=self._run, daemon=True, name="http")
 
     def start(self) -> None:
-        """Start to serve."""
+        """Start serving."""
         self._thread.start()
 
     def close(self) -> None:
-        """Stop to serve and close all connections.
+        """Stop serving and close all connections.
 
         Requests in progress are aborted unless the server was drained before.
         """
--- a/src/aspengate/store/_unanswered.py
+++ b/src/aspengate/store/_unanswered.py
@@ -5,7 +5,7 @@
 
 
 class UnansweredCallCounter:
-    """Counts consecutive calls that got no answer.
+    """Counts consecutive calls that were not answered.
 
     After two of them, the connections of waiting watches are probably dead as well. Aborting those
     watches makes their callers retry and find out at once whether the store answers, instead of
